--- a/ironstage/__init__.py
+++ b/ironstage/__init__.py
@@ -1,5 +1,5 @@
 """ironstage: the decisions of a quota-keeping gateway for a shared API."""
 
-from ironstage.logic import Gateway
+from ironstage.policy import Gateway
 
 __all__ = ["Gateway"]
--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -15,7 +15,7 @@
 
 import httptools
 
-from ironstage.interface import Effect, Settings
+from ironstage.interface import RetrySafety, Settings
 from ironstage.net.config import Address
 from ironstage.net.limiter import Limiter, Terms
 
@@ -93,7 +93,7 @@
     def __init__(self, settings: Settings) -> None:
         self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
-        self._gateways = settings.gateways
+        self._gateways = settings.gateway_count
         self._most_units = settings.most_units or math.inf
 
     def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> Terms:
@@ -116,12 +116,12 @@
         units, doors = self._call_terms(headers.get(b"x-call-terms", b""))
         return Terms(name, cls, plan, customer, units, doors, wait)
 
-    def _method(self, method: bytes, effect: Effect, headers: dict[bytes, bytes], body: bool) -> None:
-        if method != (b"GET" if effect is Effect.SAFE else b"POST"):
+    def _method(self, method: bytes, effect: RetrySafety, headers: dict[bytes, bytes], body: bool) -> None:
+        if method != (b"GET" if effect is RetrySafety.IDEMPOTENT else b"POST"):
             raise BadRequestError(405, "not the method of this class")
-        if effect is Effect.SAFE and body:
+        if effect is RetrySafety.IDEMPOTENT and body:
             raise BadRequestError(400, "a GET with a body")
-        if (effect is Effect.KEYED) != bool(headers.get(b"idempotency-key")):
+        if (effect is RetrySafety.DEDUPLICATED) != bool(headers.get(b"idempotency-key")):
             raise BadRequestError(400, "Idempotency-Key is missing, or not of this class")
 
     def _call_terms(self, raw: bytes) -> tuple[float, int]:
--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironstage import interface as api
-from ironstage.wire import MOST, WireError, parse_settings
+from ironstage.simulator_protocol import MOST, WireError, parse_settings
 
 Address = tuple[str, int]
 
@@ -119,7 +119,7 @@
         body_bytes=_body_bytes(_number(limits, "memory_mb", MEMORY_MB)),
         max_open=int(min(MAX_OPEN, _number(ceilings, "maxOpen", MAX_OPEN))),
         # On sockets a refusal may always tell when to come back, whatever the simulator's clients hear.
-        settings=replace(decoded, advice_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
+        settings=replace(decoded, max_retry_after_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
         connect_s=_number(ceilings, "connectTimeoutMs", CONNECT_MS) / 1000,
         idle_s=_number(ceilings, "connIdleMs", IDLE_MS) / 1000,
--- a/ironstage/net/discovery.py
+++ b/ironstage/net/discovery.py
@@ -152,7 +152,7 @@
     Where changes come by themselves the agent on this machine has them already, answers at once, and what it
     holds counts as told, asked for or not: a limiter that starts has no time to lose.
     """
-    return settings.gateways if settings.must_subscribe else 1
+    return settings.gateway_count if settings.must_subscribe else 1
 
 
 class Watch:
--- a/ironstage/net/limiter.py
+++ b/ironstage/net/limiter.py
@@ -14,11 +14,11 @@
 from typing import Protocol
 
 from ironstage import interface as api
-from ironstage.interface import ServerState, Status
-from ironstage.logic import Gateway
+from ironstage.interface import CallStatus, ServerState
 from ironstage.net.config import Config
 from ironstage.net.discovery import Host, HostList, parse_list
 from ironstage.net.servers import TIMER_S, Attempt, Reply, Servers
+from ironstage.policy import Gateway
 
 log = logging.getLogger(__name__)
 
@@ -139,11 +139,15 @@
         timer = asyncio.get_running_loop().call_at(
             self._loop_time(now) + wait_s, partial(self._overdue, ident)
         )
-        self._requests[ident] = _Taken(call, terms.name, cls.effect is api.Effect.UNSAFE, deadline, timer)
+        self._requests[ident] = _Taken(
+            call, terms.name, cls.effect is api.RetrySafety.AT_MOST_ONCE, deadline, timer
+        )
         self._names.add(terms.name)
         self.open += 1
         self._post(
-            api.Arrival(ident, terms.cls, terms.plan, terms.customer, terms.units, terms.doors, deadline)
+            api.RequestArrived(
+                ident, terms.cls, terms.plan, terms.customer, terms.units, terms.doors, deadline
+            )
         )
         return ident
 
@@ -151,7 +155,7 @@
         """The client has hung up."""
         if (taken := self._requests.get(ident)) and taken.open:
             self._close(ident, taken)
-            self._post(api.Abandoned(ident))
+            self._post(api.RequestAbandoned(ident))
 
     def listed(self, told: HostList) -> None:
         self._list(told, api.ListKind.FULL if told.whole else api.ListKind.DELTA)
@@ -199,19 +203,19 @@
         except Exception:
             # A fault in one request must not end the others; its own client is told of a failure.
             log.exception("the module failed on %r", event)
-            ident = getattr(event, "request", None)
+            ident = getattr(event, "request_id", None)
             if ident is not None and (taken := self._requests.get(ident)) and taken.open:
                 self._answer(ident, 500)
-                self._events.append(api.Abandoned(ident))
+                self._events.append(api.RequestAbandoned(ident))
 
     def _act(self, action: api.Action) -> None:
         match action:
             case api.Send():
                 self._send(action)
             case api.Refuse():
-                self._answer(action.request, 429, action.retry_in_ms / 1000)
+                self._answer(action.request_id, 429, action.retry_after_ms / 1000)
             case api.Fail():
-                self._answer(action.request, 502)
+                self._answer(action.request_id, 502)
             case api.Cancel():
                 self._cancel(action)
             case api.SetTimer():
@@ -219,37 +223,43 @@
                 when = self._loop_time(self._now() + action.delay_ms)
                 asyncio.get_running_loop().call_at(when + TIMER_S, fired)
             case api.Probe():
-                self._probe(action.server)
-            case api.CloseIdle():
-                self._servers.close_idle(action.server)
+                self._probe(action.server_id)
+            case api.CloseIdleConnections():
+                self._servers.close_idle(action.server_id)
             case api.Log():
                 log.info("module: %s", action.text)
-            case api.Subscribe() | api.FetchList():
+            case api.Subscribe() | api.FetchServerList():
                 pass  # the watch is always on
             case _:
                 log.error("an action that this limiter does not know: %r", action)
 
     def _cancel(self, action: api.Cancel) -> None:
-        taken = self._requests.get(action.request)
-        attempt = taken.attempts[action.attempt] if taken and action.attempt < len(taken.attempts) else None
+        taken = self._requests.get(action.request_id)
+        attempt = (
+            taken.attempts[action.attempt_number]
+            if taken and action.attempt_number < len(taken.attempts)
+            else None
+        )
         if attempt:
             attempt.cancel()
 
     def _send(self, action: api.Send) -> None:
-        ident, now = action.request, self._now()
+        ident, now = action.request_id, self._now()
         taken = self._requests.get(ident)
         number = len(taken.attempts) if taken else 0
-        until = min(action.until_ms or math.inf, taken.deadline_ms) if taken else 0.0
+        until = min(action.attempt_deadline_ms or math.inf, taken.deadline_ms) if taken else 0.0
         if not taken or not taken.open or now >= until or number >= self._settings.max_attempts:
             closed = not taken or not taken.open
-            self._events.append(api.Outcome(ident, number, action.server, Status.MOOT, 0.0, closed))
+            self._events.append(
+                api.AttemptEnded(ident, number, action.server_id, CallStatus.NOT_SENT, 0.0, closed)
+            )
             return
         left = f"Req-Deadline: {(until - now) / 1000:.3f}\r\n\r\n"
         attempt = self._servers.send(
-            action.server,
+            action.server_id,
             taken.call.forward + left.encode() + taken.call.body,
             self._loop_time(until),
-            partial(self._ended, ident, taken, number, action.server, now),
+            partial(self._ended, ident, taken, number, action.server_id, now),
             taken.once,
         )
         taken.out += 1
@@ -259,12 +269,12 @@
         """An attempt's end: the first 200 is the client's, and every end is told the module."""
         taken.attempts[number] = None
         taken.out -= 1
-        if reply.status is Status.OK and taken.open:
+        if reply.status is CallStatus.OK and taken.open:
             self._close(ident, taken)
             taken.call.answer(200, reply.body, reply.content_type)
         self._forget(ident, taken)
         self._post(
-            api.Outcome(
+            api.AttemptEnded(
                 ident,
                 number,
                 server,
@@ -308,4 +318,4 @@
         if ident in self._requests:
             log.error("request %d had no answer at its deadline", ident)
             self._answer(ident, 504)
-            self._post(api.Abandoned(ident))
+            self._post(api.RequestAbandoned(ident))
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -14,7 +14,7 @@
 
 import httptools
 
-from ironstage.interface import Status
+from ironstage.interface import CallStatus
 from ironstage.net.config import Address
 
 log = logging.getLogger(__name__)
@@ -34,7 +34,7 @@
 class Reply:
     """How an attempt ended, and what came with it."""
 
-    status: Status
+    status: CallStatus
     body: bytes = b""
     content_type: bytes = b""
     usage: int | None = None
@@ -71,14 +71,14 @@
             self._on_end(reply)
 
     def cancel(self) -> None:
-        self._give_up(Status.CANCELLED)
+        self._give_up(CallStatus.CANCELLED)
 
     def _time_out(self) -> None:
         # Without its last byte written no server has begun it.
         written = self.connection is not None and self.connection.written
-        self._give_up(Status.TIMEOUT if written else Status.CONNECT_FAILED)
+        self._give_up(CallStatus.TIMEOUT if written else CallStatus.CONNECT_FAILED)
 
-    def _give_up(self, status: Status) -> None:
+    def _give_up(self, status: CallStatus) -> None:
         if self.connection:
             self.connection.drop()
         self.end(Reply(status))
@@ -222,19 +222,19 @@
     def _break(self) -> None:
         if self._attempt and self._silent:
             self._servers.died(self.rested)
-        self._fail(Status.RESET)
+        self._fail(CallStatus.RESET)
 
     def _spoil(self, what: str) -> None:
         """An answer that can't be read: the server lives and may have run the request; none can be served."""
         log.warning("server %s: %s", self._server.dial, what)
-        self._fail(Status.ERROR)
+        self._fail(CallStatus.ERROR)
 
-    def _fail(self, status: Status) -> None:
+    def _fail(self, status: CallStatus) -> None:
         attempt, written = self._attempt, self.written
         self._body = []
         self.drop()
         if attempt:
-            attempt.end(Reply(status if written else Status.CONNECT_FAILED))
+            attempt.end(Reply(status if written else CallStatus.CONNECT_FAILED))
 
     def _settle(self) -> None:
         if self._rest:
@@ -247,11 +247,11 @@
         if attempt is None:
             return
         if self._code == 200:
-            status = Status.OK
+            status = CallStatus.OK
         elif self._code in (503, 504) and self._headers.get(b"srv-declined") == b"1":
-            status = Status.FULL
+            status = CallStatus.REJECTED
         else:
-            status = Status.ERROR
+            status = CallStatus.ERROR
         reply = Reply(
             status,
             b"".join(self._body),
@@ -325,7 +325,7 @@
         """Open a connection for an attempt; if that is over by then, it is kept for the next."""
         if self._open >= self._most and not self._drop_oldest():
             log.warning("no connection to %s: %d are open", server.dial, self._open)
-            attempt.end(Reply(Status.CONNECT_FAILED))
+            attempt.end(Reply(CallStatus.CONNECT_FAILED))
             return
         self._open += 1
         dial, sock = server.dial, None
@@ -342,12 +342,12 @@
             self._open -= 1
             if sock:
                 sock.close()
-            attempt.end(Reply(Status.CONNECT_FAILED))
+            attempt.end(Reply(CallStatus.CONNECT_FAILED))
             return
         if not server.ready or server.dial != dial:
             # It drained or moved while this connection came up: nothing new may go there.
             connection.drop()
-            attempt.end(Reply(Status.CONNECT_FAILED))
+            attempt.end(Reply(CallStatus.CONNECT_FAILED))
         elif attempt.ended:
             self.keep(server, connection)
         else:
--- a/ironstage/logic.py
+++ b/ironstage/policy.py
@@ -17,7 +17,7 @@
 
 from ironstage import interface as api
 from ironstage import latency
-from ironstage.interface import Effect, Scope, ServerState, Status
+from ironstage.interface import CallStatus, DedupScope, RetrySafety, ServerState
 
 # --- Constants: unit, reason -------------------------------------------------------------------
 RERUN_MS = 500.0  # ms; thresholds follow a load that moves in seconds
@@ -452,7 +452,7 @@
         self.mean_ms = REFERENCE_MS
         self.usual = 0.0
         self.strength, self.summed_ms = 1.0, -INF
-        self.patience = max(1.0, settings.gateways / FEW_GATEWAYS)
+        self.patience = max(1.0, settings.gateway_count / FEW_GATEWAYS)
         self.due: deque[float] = deque()  # of first sends that quota and lane cap let through, sent or not
 
     def update(self, now: float, event: api.ServerList) -> None:
@@ -537,7 +537,7 @@
         """
         if self.warmth(peer, now) < 1.0:
             return 0.0
-        size = max(1e-3, peer.entry.rating)
+        size = max(1e-3, peer.entry.relative_capacity)
         fresh = max(0.0, 1.0 - (now - peer.load_ms) / REPORT_MS)
         load = self.usual + fresh * (peer.load - self.usual)  # no report is not idleness
         seldom = len(self.due) < len(self.ready)  # in a window, which is GOOD_MS
@@ -571,42 +571,42 @@
                 return best[1]
         return best[1] if best and (shunned or best[0][0] <= now) else None
 
-    def heard(self, now: float, event: api.Outcome) -> None:
+    def heard(self, now: float, event: api.AttemptEnded) -> None:
         """Learn from an attempt's end; any answer clears a suspicion."""
-        if (peer := self.peers.get(event.server)) is None:
+        if (peer := self.peers.get(event.server_id)) is None:
             return
         peer.waiting -= 1
         if peer.entry.state is ServerState.GONE:
             if peer.waiting <= 0:
-                del self.peers[event.server]
+                del self.peers[event.server_id]
             return
-        if event.status is not Status.CANCELLED:
-            soon = event.status is Status.OK and event.elapsed_ms <= GOOD * self.mean_ms
+        if event.status is not CallStatus.CANCELLED:
+            soon = event.status is CallStatus.OK and event.elapsed_ms <= GOOD * self.mean_ms
             if not soon:
                 peer.good_ms = -INF
             elif now - peer.good_ms >= GOOD_MS:  # not drawn out: which ones are preferred goes round
                 peer.good_ms = now
-        if event.status in (Status.OK, Status.ERROR, Status.FULL):
+        if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED):
             peer.heard_ms = now
             self.missed.pop(peer.entry.zone, None)
-        if event.status in (Status.OK, Status.ERROR, Status.FULL, Status.RESET):
+        if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED, CallStatus.RESET):
             # A reset may be the connection's own end; a process that died refuses the next one, too.
-            if event.status is not Status.FULL:
-                peer.errors = 0 if event.status is Status.OK else peer.errors + 1
+            if event.status is not CallStatus.REJECTED:
+                peer.errors = 0 if event.status is CallStatus.OK else peer.errors + 1
             if peer.errors >= ERRORS:
                 self.doubt(peer, now)
-            elif event.status in (Status.OK, Status.ERROR):
+            elif event.status in (CallStatus.OK, CallStatus.ERROR):
                 self.clear(peer, now)
         # Silence while it had work is the sign of a vanished server, a refused connection of a lost one.
-        silent = event.status is Status.TIMEOUT and peer.heard_ms < now - event.elapsed_ms
-        if event.status is Status.FULL:
+        silent = event.status is CallStatus.TIMEOUT and peer.heard_ms < now - event.elapsed_ms
+        if event.status is CallStatus.REJECTED:
             peer.avoid_ms = now + FULL_MS * self.patience * self._jitter()
             if peer.suspect:  # it lives, but what it holds already is too much
                 self.doubt(peer, now)
-        elif silent or event.status is Status.CONNECT_FAILED:
+        elif silent or event.status is CallStatus.CONNECT_FAILED:
             self.doubt(peer, now)
             self.missed[peer.entry.zone] = self.missed.get(peer.entry.zone, (0, now))[0] + 1, now
-        self.report(now, event.server, event.report)
+        self.report(now, event.server_id, event.load_report)
 
     def report(self, now: float, server: int, values: tuple[float, ...]) -> None:
         """Read a load report: requests in hand or queued, else how busy its cores are."""
@@ -653,7 +653,7 @@
 # --- Request life cycle -------------------------------------------------------------------------
 @dataclass(slots=True)
 class Request:
-    event: api.Arrival
+    event: api.RequestArrived
     cls: api.RequestClass
     lane: int
     end_ms: float  # work past this is worth nothing
@@ -666,7 +666,7 @@
         return sum(1 for attempt in self.attempts if attempt.out)
 
 
-NEVER_RAN = (Status.FULL, Status.CONNECT_FAILED, Status.MOOT)
+NEVER_RAN = (CallStatus.REJECTED, CallStatus.CONNECT_FAILED, CallStatus.NOT_SENT)
 
 
 def split_lanes(classes: tuple[api.RequestClass, ...]) -> list[int]:
@@ -684,7 +684,7 @@
         self.fleet = Fleet(settings, self.rng)
         self.lanes = split_lanes(settings.classes)
         self.customers: dict[int, Customer] = {}
-        self.clock = MeterClock(settings.meter_ms)
+        self.clock = MeterClock(settings.metering_ms)
         self.requests: dict[int, Request] = {}
         self.caps: tuple[float, float] = (INF, INF)
         self.count = [0, 0]
@@ -704,11 +704,11 @@
         self.waits: list[deque[float]] = [deque(maxlen=WAITS) for _ in settings.classes]
         self.actions: list[api.Action] = []
         self.acts: dict[type, Callable[[float, Any], None]] = {
-            api.Arrival: self._arrive,
-            api.Outcome: self._outcome,
-            api.Abandoned: self._abandon,
+            api.RequestArrived: self._arrive,
+            api.AttemptEnded: self._outcome,
+            api.RequestAbandoned: self._abandon,
             api.ServerList: self._listed,
-            api.StreamBegun: self._begun,
+            api.StreamStarted: self._begun,
         }
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -749,19 +749,21 @@
         if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
             self.actions.append(api.Subscribe(True))
 
-    def _arrive(self, now: float, event: api.Arrival) -> None:
+    def _arrive(self, now: float, event: api.RequestArrived) -> None:
         """The ordinary path: let-in share, lane cap, server choice; what fails is refused at once."""
         self.begun = min(self.begun, now)
-        cls = self.settings.classes[event.cls]
-        customer = self.customers.pop(event.customer, None)
+        cls = self.settings.classes[event.class_index]
+        customer = self.customers.pop(event.customer_id, None)
         if customer is None:
-            customer = Customer(self.settings.plans[event.plan], event.doors, now, self.born)
-        self.customers[event.customer] = customer  # behind all others: the latest to ask
+            customer = Customer(
+                self.settings.plans[event.plan_index], event.customer_gateway_count, now, self.born
+            )
+        self.customers[event.customer_id] = customer  # behind all others: the latest to ask
         # Where a late answer earns little, an attempt past the aim is waste and feeds a jam.
         in_time = cls.late_worth <= LITTLE_WORTH and cls.aim_stretch <= 0 and not cls.stream
         end = min(event.deadline_ms, now + cls.aim_ms) if in_time else event.deadline_ms
-        request = Request(event, cls, self.lanes[event.cls], end, customer)
-        self.requests[event.request] = request
+        request = Request(event, cls, self.lanes[event.class_index], end, customer)
+        self.requests[event.request_id] = request
         if in_time and self._late(now, event) and not customer.spares(now, event.units):
             self._answer(now, request)
         elif customer.lets_in(now, event.units, self.rng.random(), cls.worth / self.dearest):
@@ -780,7 +782,7 @@
         the lane is pressed it gives way to those that the same work would answer. Below the cap by less than
         one: by chance, which mixes the two whole thresholds beside it.
         """
-        cost = 1.0 / self.chances[request.event.cls].within(request.end_ms - now)
+        cost = 1.0 / self.chances[request.event.class_index].within(request.end_ms - now)
         return cost - 1.0 + self.rng.random() < self._room(request.lane)
 
     def _room(self, lane: int) -> float:
@@ -797,7 +799,7 @@
         part = 1.0 if mean < cap else steady
         return cap + POOLING * math.sqrt(cap) * part - self.count[lane]
 
-    def _late(self, now: float, event: api.Arrival) -> bool:
+    def _late(self, now: float, event: api.RequestArrived) -> bool:
         """Whether this is a repeat that can hardly be answered within the aim, counted from the first try.
 
         No try waits past the end of its request, so one that waits for less than first ones do is a repeat,
@@ -805,7 +807,11 @@
         shows the same. It hurts clients whose first tries wait for less than others': taken for repeats, they
         get what the customer's store can spare.
         """
-        cls, waits, wait = self.settings.classes[event.cls], self.waits[event.cls], event.deadline_ms - now
+        cls, waits, wait = (
+            self.settings.classes[event.class_index],
+            self.waits[event.class_index],
+            event.deadline_ms - now,
+        )
         waits.append(wait)
         left = cls.aim_ms - (cls.deadline_ms - wait)
         if left >= min(self.fleet.mean_ms, LATEST * cls.aim_ms) or len(waits) < FEWEST:
@@ -821,16 +827,16 @@
         if request.outstanding() and not self.settings.second_copies:
             return False
         ran = [attempt for attempt in request.attempts if attempt.may_have_run]
-        if not ran or request.cls.effect is Effect.SAFE:
+        if not ran or request.cls.effect is RetrySafety.IDEMPOTENT:
             return True
-        if request.cls.effect is Effect.UNSAFE or now - ran[0].sent > request.cls.window_ms:
+        if request.cls.effect is RetrySafety.AT_MOST_ONCE or now - ran[0].sent > request.cls.window_ms:
             return False
-        return all(self._same_group(request.cls.scope, attempt.server, peer) for attempt in ran)
+        return all(self._same_group(request.cls.dedup_scope, attempt.server, peer) for attempt in ran)
 
-    def _same_group(self, scope: Scope, server: api.Server, peer: Peer) -> bool:
-        if scope is Scope.ALL:
+    def _same_group(self, scope: DedupScope, server: api.Server, peer: Peer) -> bool:
+        if scope is DedupScope.ALL:
             return True
-        return server.zone == peer.entry.zone if scope is Scope.ZONE else server.cell == peer.entry.cell
+        return server.zone == peer.entry.zone if scope is DedupScope.ZONE else server.cell == peer.entry.cell
 
     def _send(self, now: float, request: Request, tried: set[int]) -> bool:
         """The one place that sends: every rule on sending is checked here."""
@@ -858,9 +864,12 @@
             request.customer.draw(now, event.units)
         until = request.end_ms
         part = EARLY if self.lossy else LATE if self.strays and first else 1.0
-        if request.cls.effect is not Effect.UNSAFE and attempt.number + 1 < self.settings.max_attempts:
+        if (
+            request.cls.effect is not RetrySafety.AT_MOST_ONCE
+            and attempt.number + 1 < self.settings.max_attempts
+        ):
             until = now + part * (until - now)
-        self.actions.append(api.Send(event.request, peer.entry.id, until))
+        self.actions.append(api.Send(event.request_id, peer.entry.id, until))
         return True
 
     def _answer(self, now: float, request: Request) -> None:
@@ -868,10 +877,12 @@
         if not request.open or request.streaming:
             return
         ran = any(attempt.may_have_run for attempt in request.attempts)
-        keyed_all = request.cls.effect is Effect.KEYED and request.cls.scope is Scope.ALL
-        harmless = not ran or request.cls.effect is Effect.SAFE or keyed_all
+        keyed_all = (
+            request.cls.effect is RetrySafety.DEDUPLICATED and request.cls.dedup_scope is DedupScope.ALL
+        )
+        harmless = not ran or request.cls.effect is RetrySafety.IDEMPOTENT or keyed_all
         refuse = harmless and not (ran and now >= request.end_ms)
-        ident, request.open = request.event.request, False
+        ident, request.open = request.event.request_id, False
         self.actions.append(api.Refuse(ident, self._advice(now, request)) if refuse else api.Fail(ident))
         self._forget(request)
 
@@ -882,62 +893,67 @@
         short = request.event.units - customer.store.refill(now)
         if (customer.usage or 0) >= 100 and short > 0 and customer.plan.rate > 0:
             wait = max(wait, short / customer.plan.rate * 1000.0)
-        return min(self.settings.advice_ms, wait)
+        return min(self.settings.max_retry_after_ms, wait)
 
     def _forget(self, request: Request) -> None:
         if not request.open and not request.outstanding():
-            self.requests.pop(request.event.request, None)
+            self.requests.pop(request.event.request_id, None)
 
-    def _abandon(self, now: float, event: api.Abandoned) -> None:
+    def _abandon(self, now: float, event: api.RequestAbandoned) -> None:
         """The client has gone: nobody waits for what is still out."""
-        if request := self.requests.get(event.request):
+        if request := self.requests.get(event.request_id):
             request.open = False
             self._cancel(request)
             self._forget(request)
 
-    def _begun(self, now: float, event: api.StreamBegun) -> None:
+    def _begun(self, now: float, event: api.StreamStarted) -> None:
         """The answer is the client's now: neither sent again, withdrawn nor ended here."""
-        if request := self.requests.get(event.request):
+        if request := self.requests.get(event.request_id):
             request.streaming = True
 
     def _cancel(self, request: Request) -> None:
         if self.settings.may_cancel and not request.streaming:
-            ident = request.event.request
+            ident = request.event.request_id
             self.actions += [api.Cancel(ident, a.number) for a in request.attempts if a.out]
 
-    def _outcome(self, now: float, event: api.Outcome) -> None:
+    def _outcome(self, now: float, event: api.AttemptEnded) -> None:
         """Book an attempt's end, learn from it, then close, retry or answer the request."""
-        peer = self.fleet.peers.get(event.server)
+        peer = self.fleet.peers.get(event.server_id)
         was_suspect = peer is not None and peer.suspect and not self.fleet.all_slow()
         self.fleet.heard(now, event)
-        request = self.requests.get(event.request)
-        if request is None or not (attempt := request.attempts[event.attempt]).out:
+        request = self.requests.get(event.request_id)
+        if request is None or not (attempt := request.attempts[event.attempt_number]).out:
             return
         attempt.out = False
         attempt.may_have_run = event.status not in NEVER_RAN
         request.customer.out -= 1
-        if event.status is Status.TIMEOUT and not was_suspect and not self.lossy:
+        if event.status is CallStatus.TIMEOUT and not was_suspect and not self.lossy:
             # Given up, not ended: the server works on it or still will, after a short wait for the longer.
             rest = max((GIVEN_UP - 1.0) * event.elapsed_ms, self.fleet.mean_ms)
             heapq.heappush(self.running, (now + rest, request.lane))
         else:
             self.count[request.lane] -= 1
-        if event.usage is not None and self.settings.meter_ms > 0:
-            request.customer.meter(now, event.usage, self.clock)
-        if self.settings.post_paid and event.status is Status.OK and event.units and not event.attempt:
-            request.customer.store.level += request.event.units - event.units
+        if event.usage_percent is not None and self.settings.metering_ms > 0:
+            request.customer.meter(now, event.usage_percent, self.clock)
+        if (
+            self.settings.post_paid
+            and event.status is CallStatus.OK
+            and event.charged_units
+            and not event.attempt_number
+        ):
+            request.customer.store.level += request.event.units - event.charged_units
         # Work lost at a suspect says nothing of the back end's load; elsewhere a time-out is a latency.
-        if event.status is Status.OK or (event.status is Status.TIMEOUT and not was_suspect):
-            answered = event.status is Status.OK
-            self.window.add(latency.Ended(now, request.event.cls, event.elapsed_ms, answered))
-        elif event.status is Status.FULL:
+        if event.status is CallStatus.OK or (event.status is CallStatus.TIMEOUT and not was_suspect):
+            answered = event.status is CallStatus.OK
+            self.window.add(latency.Ended(now, request.event.class_index, event.elapsed_ms, answered))
+        elif event.status is CallStatus.REJECTED:
             self.declined = now
-        if event.closed:
+        if event.request_closed:
             request.open = False
             self._cancel(request)
         elif request.open and not request.outstanding():
             tried = {a.server.id for a in request.attempts}
-            if event.status is Status.MOOT or not self._send(now, request, tried):
+            if event.status is CallStatus.NOT_SENT or not self._send(now, request, tried):
                 self._answer(now, request)
         self._forget(request)
 
@@ -951,7 +967,7 @@
     def _awaited(self, now: float) -> list[latency.Ended]:
         """What is out, as if given up now: in a jam its age tells an aim sooner than its time-out will."""
         return [
-            latency.Ended(now, request.event.cls, now - attempt.sent, False)
+            latency.Ended(now, request.event.class_index, now - attempt.sent, False)
             for request in self.requests.values()
             if now < request.end_ms
             for attempt in request.attempts
--- a/ironstage/drill.py
+++ b/ironstage/simulator_adapter.py
@@ -1,4 +1,4 @@
-"""`python -m ironstage.drill`: the decision module on the simulator's wire."""
+"""`python -m ironstage.simulator_adapter`: the decision module on the simulator's wire."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 from typing import BinaryIO
 
 from ironstage import interface as api
-from ironstage import wire
-from ironstage.logic import Gateway
+from ironstage import simulator_protocol
+from ironstage.policy import Gateway
 
 
 class Host:
@@ -18,45 +18,45 @@
         self._gateways: dict[int, Gateway] = {}
 
     def reply(self, now: float, count: int, body: bytes) -> bytes:
-        records = wire.decode_batch(count, body)
+        records = simulator_protocol.decode_batch(count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
             if not groups or groups[-1][0] != instance:
                 groups.append((instance, []))
             try:
                 groups[-1][1].extend(self._handle(instance, now, record))
-            except wire.WireError:
+            except simulator_protocol.WireError:
                 raise
             except Exception as error:
                 traceback.print_exc()
                 cause = traceback.extract_tb(error.__traceback__)[-1]
                 where = f"{cause.filename.rsplit('/', 1)[-1]}:{cause.lineno}"
-                return wire.encode_fault(instance, f"{type(error).__name__}: {error} ({where})")
-        return wire.encode_reply(groups)
+                return simulator_protocol.encode_fault(instance, f"{type(error).__name__}: {error} ({where})")
+        return simulator_protocol.encode_reply(groups)
 
-    def _handle(self, instance: int, now: float, record: wire.Record) -> list[api.Action]:
-        if isinstance(record, wire.Spawn):
+    def _handle(self, instance: int, now: float, record: simulator_protocol.Record) -> list[api.Action]:
+        if isinstance(record, simulator_protocol.Spawn):
             self._gateways[instance] = Gateway(record.settings, record.seed)
             return []
-        if isinstance(record, wire.Teardown):
+        if isinstance(record, simulator_protocol.Teardown):
             self._gateways.pop(instance, None)
             return []
         if instance not in self._gateways:
-            raise wire.WireError(f"event for instance {instance}, which has not been started")
+            raise simulator_protocol.WireError(f"event for instance {instance}, which has not been started")
         return self._gateways[instance].handle(now, record)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
     """Clock, record count and records of the next batch, or None at a clean end of input."""
-    head = stream.read(wire.BATCH_HEAD.size)
+    head = stream.read(simulator_protocol.BATCH_HEAD.size)
     if not head:
         return None
-    if len(head) < wire.BATCH_HEAD.size:
-        raise wire.WireError(f"input ends inside a header, after {len(head)} bytes")
-    size, now, count = wire.BATCH_HEAD.unpack(head)
+    if len(head) < simulator_protocol.BATCH_HEAD.size:
+        raise simulator_protocol.WireError(f"input ends inside a header, after {len(head)} bytes")
+    size, now, count = simulator_protocol.BATCH_HEAD.unpack(head)
     body = stream.read(size)
     if len(body) < size:
-        raise wire.WireError(f"input ends inside a frame, after {len(body)} of {size} bytes")
+        raise simulator_protocol.WireError(f"input ends inside a frame, after {len(body)} of {size} bytes")
     return now, count, body
 
 
@@ -68,8 +68,8 @@
             sink.write(host.reply(*frame))
             sink.flush()
             number += 1
-    except wire.WireError as error:
-        print(f"ironstage.drill: frame {number}: {error}", file=sys.stderr)
+    except simulator_protocol.WireError as error:
+        print(f"ironstage.simulator_adapter: frame {number}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/ironstage/wire.py
+++ b/ironstage/simulator_protocol.py
@@ -29,14 +29,14 @@
 Record = api.Event | Spawn | Teardown
 
 STATUSES = {
-    200: api.Status.OK,
-    502: api.Status.ERROR,
-    429: api.Status.FULL,
-    408: api.Status.TIMEOUT,
-    521: api.Status.CONNECT_FAILED,
-    520: api.Status.RESET,
-    444: api.Status.CANCELLED,
-    409: api.Status.MOOT,
+    200: api.CallStatus.OK,
+    502: api.CallStatus.ERROR,
+    429: api.CallStatus.REJECTED,
+    408: api.CallStatus.TIMEOUT,
+    521: api.CallStatus.CONNECT_FAILED,
+    520: api.CallStatus.RESET,
+    444: api.CallStatus.CANCELLED,
+    409: api.CallStatus.NOT_SENT,
 }
 STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
 LIST_KINDS = {
@@ -46,9 +46,9 @@
     4: api.ListKind.FAILED,
 }
 EFFECTS = {
-    "idempotent": api.Effect.SAFE,
-    "deduplicated": api.Effect.KEYED,
-    "at_most_once": api.Effect.UNSAFE,
+    "idempotent": api.RetrySafety.IDEMPOTENT,
+    "deduplicated": api.RetrySafety.DEDUPLICATED,
+    "at_most_once": api.RetrySafety.AT_MOST_ONCE,
 }
 REPORT_NAMES = {
     "rif": "inflight",
@@ -100,7 +100,7 @@
 _TOTAL = _form("QHfd")
 
 
-def _status(code: int) -> api.Status:
+def _status(code: int) -> api.CallStatus:
     try:
         return STATUSES[code]
     except KeyError:
@@ -131,9 +131,9 @@
     return api.ServerList(LIST_KINDS[scope], tuple(servers))
 
 
-def _submit(reader: _Reader) -> api.Arrival:
+def _submit(reader: _Reader) -> api.RequestArrived:
     request, cls, _, plan, _, units, deadline, doors, customer = reader.take(_SUBMIT)
-    return api.Arrival(request, cls, plan, customer, units, int(doors), deadline)
+    return api.RequestArrived(request, cls, plan, customer, units, int(doors), deadline)
 
 
 def _probe_done(reader: _Reader) -> api.ProbeResult:
@@ -141,17 +141,17 @@
     return api.ProbeResult(server, _status(code), elapsed, _report(reader))
 
 
-def _done(reader: _Reader) -> api.Outcome:
+def _done(reader: _Reader) -> api.AttemptEnded:
     request, number, server, code, elapsed, closed, usage, units = reader.take(_DONE)
     used = usage - 1 if usage else None
-    return api.Outcome(
+    return api.AttemptEnded(
         request, number, server, _status(code), elapsed, bool(closed), used, units, _report(reader)
     )
 
 
-def _under_way(reader: _Reader) -> api.StreamBegun:
+def _under_way(reader: _Reader) -> api.StreamStarted:
     request, number, _, server = reader.take(_FIRST)
-    return api.StreamBegun(request, number, server)
+    return api.StreamStarted(request, number, server)
 
 
 def _heard(reader: _Reader) -> api.PeerMessage:
@@ -170,7 +170,7 @@
     2: _submit,
     3: _under_way,
     4: _done,
-    5: lambda reader: api.Abandoned(*reader.take(_U64)),
+    5: lambda reader: api.RequestAbandoned(*reader.take(_U64)),
     6: lambda reader: api.TimerFired(*reader.take(_U32)),
     7: _probe_done,
     8: _heard,
@@ -218,24 +218,24 @@
     return _TEXT.pack(code, len(body)) + body
 
 
-def _tell(action: api.Tell) -> bytes:
-    dest = EVERY_PEER if action.to is None else action.to
+def _tell(action: api.SendPeerMessage) -> bytes:
+    dest = EVERY_PEER if action.recipient is None else action.recipient
     return _TELL.pack(2, dest, len(action.body)) + action.body
 
 
 _ENCODERS: dict[type, Callable[[Any], bytes]] = {
     api.SetTimer: lambda a: _TIMER.pack(0, a.delay_ms, a.token),
-    api.Send: lambda a: _SEND.pack(1, a.request, a.server, a.until_ms),
-    api.Tell: _tell,
-    api.Fail: lambda a: _IDENT.pack(3, a.request),
-    api.Cancel: lambda a: _CANCEL.pack(4, a.request, a.attempt),
-    api.FetchList: lambda a: _U8.pack(5),
-    api.Refuse: lambda a: _REFUSE.pack(6, a.request, a.retry_in_ms),
-    api.Probe: lambda a: _SERVER.pack(7, a.server),
-    api.Subscribe: lambda a: _FLAG.pack(8, a.on),
+    api.Send: lambda a: _SEND.pack(1, a.request_id, a.server_id, a.attempt_deadline_ms),
+    api.SendPeerMessage: _tell,
+    api.Fail: lambda a: _IDENT.pack(3, a.request_id),
+    api.Cancel: lambda a: _CANCEL.pack(4, a.request_id, a.attempt_number),
+    api.FetchServerList: lambda a: _U8.pack(5),
+    api.Refuse: lambda a: _REFUSE.pack(6, a.request_id, a.retry_after_ms),
+    api.Probe: lambda a: _SERVER.pack(7, a.server_id),
+    api.Subscribe: lambda a: _FLAG.pack(8, a.enabled),
     api.Log: lambda a: _text(10, a.text),
-    api.CloseIdle: lambda a: _SERVER.pack(11, a.server),
-    api.CounterAdd: lambda a: _COUNT.pack(12, a.name, a.amount, a.lives_ms),
+    api.CloseIdleConnections: lambda a: _SERVER.pack(11, a.server_id),
+    api.CounterAdd: lambda a: _COUNT.pack(12, a.counter_id, a.amount, a.ttl_ms),
 }
 
 
@@ -310,13 +310,13 @@
     effect, scope = row.word("effect"), row.word("dedupScope", "all")
     if effect not in EFFECTS:
         raise WireError(f"settings: {row.path}.effect is unknown: {effect}")
-    if scope not in {s.value for s in api.Scope}:
+    if scope not in {s.value for s in api.DedupScope}:
         raise WireError(f"settings: {row.path}.dedupScope is unknown: {scope}")
     return api.RequestClass(
         aim_ms=row.number("aimMs"),
         deadline_ms=row.number("hardLimitMs"),
         effect=EFFECTS[effect],
-        scope=api.Scope(scope),
+        dedup_scope=api.DedupScope(scope),
         window_ms=row.number("windowMs", 0),
         late_worth=row.number("lateWorth", 0),
         stream=row.flag("stream"),
@@ -359,8 +359,8 @@
     extra = root.table("specifics") if "specifics" in root.raw else _Table({}, "specifics")
     report = root.table("report") if "report" in root.raw else _Table({}, "report")
     return api.Settings(
-        me=int(root.number("me")),
-        gateways=int(root.number("balancers", least=1)),
+        gateway_id=int(root.number("me")),
+        gateway_count=int(root.number("balancers", least=1)),
         zone=int(root.number("myZone", 0)),
         classes=tuple(_request_class(row) for row in root.tables("services")),
         plans=tuple(_plan(row) for row in root.tables("contracts")),
@@ -370,13 +370,13 @@
         fall_ms=rules.number("fallMs"),
         drain_grace_ms=rules.number("drainGraceMs"),
         ask_within_ms=rules.number("askWithinMs", 0),
-        meter_ms=extra.number("meteringMs", 0),
+        metering_ms=extra.number("meteringMs", 0),
         post_paid=extra.flag("postPaid"),
         max_attempts=int(limits.number("maxAttempts", least=1)),
         second_copies=limits.flag("secondCopies"),
         may_cancel=limits.flag("cancel"),
         may_probe=limits.flag("probing"),
-        advice_ms=limits.number("maxRetryAfterMs", 0) if limits.flag("retryAfter") else 0.0,
+        max_retry_after_ms=limits.number("maxRetryAfterMs", 0) if limits.flag("retryAfter") else 0.0,
         must_subscribe=root.word("registryMode", "automatic") == "subscribe",
         report_fields=_fields(report),
         most_units=extra.number("mostUnits", 0),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -6,17 +6,17 @@
 from typing import Any
 
 from ironstage import interface as api
-from ironstage.logic import Gateway
+from ironstage.policy import Gateway
 
-SAFE = api.RequestClass(1000, 4000, api.Effect.SAFE, api.Scope.ALL, 0, 0.0)
-KEYED_ALL = api.RequestClass(1000, 4000, api.Effect.KEYED, api.Scope.ALL, 3000, 0.0)
-KEYED_ZONE = api.RequestClass(3000, 9000, api.Effect.KEYED, api.Scope.ZONE, 2000, 0.0)
-UNSAFE = api.RequestClass(1500, 4000, api.Effect.UNSAFE, api.Scope.ALL, 0, 0.0)
+SAFE = api.RequestClass(1000, 4000, api.RetrySafety.IDEMPOTENT, api.DedupScope.ALL, 0, 0.0)
+KEYED_ALL = api.RequestClass(1000, 4000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ALL, 3000, 0.0)
+KEYED_ZONE = api.RequestClass(3000, 9000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ZONE, 2000, 0.0)
+UNSAFE = api.RequestClass(1500, 4000, api.RetrySafety.AT_MOST_ONCE, api.DedupScope.ALL, 0, 0.0)
 CLASSES = (SAFE, KEYED_ALL, KEYED_ZONE, UNSAFE)
 
 BASE = api.Settings(
-    me=0,
-    gateways=2,
+    gateway_id=0,
+    gateway_count=2,
     zone=0,
     classes=CLASSES,
     plans=(api.Plan(rate=1000, burst=2000),),
@@ -26,13 +26,13 @@
     fall_ms=1000,
     drain_grace_ms=500,
     ask_within_ms=0,
-    meter_ms=1000,
+    metering_ms=1000,
     post_paid=False,
     max_attempts=3,
     second_copies=False,
     may_cancel=True,
     may_probe=False,
-    advice_ms=0,
+    max_retry_after_ms=0,
     must_subscribe=False,
     report_fields=(),
 )
@@ -59,18 +59,18 @@
         self, now: float, cls: int = 0, customer: int = 1, doors: int = 1, deadline: float = 4000.0
     ) -> list[api.Action]:
         self.number += 1
-        event = api.Arrival(self.number, cls, 0, customer, 1.0, doors, now + deadline)
+        event = api.RequestArrived(self.number, cls, 0, customer, 1.0, doors, now + deadline)
         return self.gateway.handle(now, event)
 
     def done(
         self, now: float, sent: api.Send, status: str, attempt: int = 0, **extra: Any
     ) -> list[api.Action]:
         closed = extra.pop("closed", status == "ok")
-        event = api.Outcome(
-            sent.request,
+        event = api.AttemptEnded(
+            sent.request_id,
             attempt,
-            sent.server,
-            api.Status(status),
+            sent.server_id,
+            api.CallStatus(status),
             extra.pop("elapsed", 50.0),
             closed,
             **extra,
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -17,7 +17,7 @@
 from ironstage.net.config import Config
 from ironstage.net.discovery import Watch
 from ironstage.net.limiter import Limiter
-from ironstage.wire import parse_settings
+from ironstage.simulator_protocol import parse_settings
 
 PATIENCE_S = 30.0  # only a hanging test meets it
 
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -253,7 +253,7 @@
 
     async def test() -> None:
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            Module(rig, api.Arrival)
+            Module(rig, api.RequestArrived)
             client = await rig.connect()
             assert (await client.ask(message(Req_Deadline="0.1"))).code == 504
             assert rig.limiter.open == 0
@@ -261,7 +261,7 @@
     run(test())
 
 
-@pytest.mark.parametrize("event", [api.Arrival, api.Outcome])
+@pytest.mark.parametrize("event", [api.RequestArrived, api.AttemptEnded])
 def test_failing_module(event: type, caplog: pytest.LogCaptureFixture) -> None:
     """An exception costs its own request alone, and is told in the log."""
 
@@ -289,23 +289,23 @@
     """A send that can't be made is told as one: the module may go on with the request."""
 
     async def test() -> None:
-        heard: list[api.Outcome] = []
+        heard: list[api.AttemptEnded] = []
 
         class Odd(Module):
             def act(self, event: Any) -> list[api.Action]:
-                if isinstance(event, api.Arrival):
-                    return [api.Send(event.request, 0, 1.0), api.Send(99, 0, 0.0)]
+                if isinstance(event, api.RequestArrived):
+                    return [api.Send(event.request_id, 0, 1.0), api.Send(99, 0, 0.0)]
                 heard.append(event)
                 return [api.Refuse(1, 250.0)]
 
         async with backend(echo) as server, limiter(host("a", server.address)) as rig:
-            Odd(rig, api.Arrival, api.Outcome)
+            Odd(rig, api.RequestArrived, api.AttemptEnded)
             client = await rig.connect()
             answer = await client.ask(message())
             assert (answer.code, answer.headers["retry-after"]) == (429, "0.250")
-            assert [(o.status, o.attempt, o.closed) for o in heard] == [
-                (api.Status.MOOT, 0, False),
-                (api.Status.MOOT, 0, True),
+            assert [(o.status, o.attempt_number, o.request_closed) for o in heard] == [
+                (api.CallStatus.NOT_SENT, 0, False),
+                (api.CallStatus.NOT_SENT, 0, True),
             ]
             assert not server.requests
 
@@ -323,18 +323,18 @@
 
         class Asking(Module):
             def act(self, event: Any) -> list[api.Action]:
-                if isinstance(event, api.Arrival):
-                    return [api.Probe(0), api.SetTimer(20.0, 7), api.Fail(event.request)]
+                if isinstance(event, api.RequestArrived):
+                    return [api.Probe(0), api.SetTimer(20.0, 7), api.Fail(event.request_id)]
                 heard.put_nowait(event)
                 return []
 
         async with backend(script) as server, limiter(host("a", server.address)) as rig:
-            Asking(rig, api.Arrival, api.ProbeResult, api.TimerFired)
+            Asking(rig, api.RequestArrived, api.ProbeResult, api.TimerFired)
             client = await rig.connect()
             assert (await client.ask(message())).code == 502
             events = {type(event): event for event in [await heard.get(), await heard.get()]}
             probe, timer = events[api.ProbeResult], events[api.TimerFired]
-            assert (probe.status, probe.report, timer.token) == (api.Status.OK, (7.0, 2.5), 7)
+            assert (probe.status, probe.load_report, timer.token) == (api.CallStatus.OK, (7.0, 2.5), 7)
             assert server.requests[0].line == "GET /metrics/load HTTP/1.1"
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -331,7 +331,7 @@
 
 def test_pushed_changes_are_asked_for_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """herd+mass: a restarted limiter waited up to 5 s for drains that its agent had been told of long ago."""
-    pushed = waits(callers(replace(BASE, gateways=200)), 1, monkeypatch)
-    asked = waits(callers(replace(BASE, gateways=200, must_subscribe=True)), 1, monkeypatch)
+    pushed = waits(callers(replace(BASE, gateway_count=200)), 1, monkeypatch)
+    asked = waits(callers(replace(BASE, gateway_count=200, must_subscribe=True)), 1, monkeypatch)
     assert pushed[0] * 1000 < BASE.drain_grace_ms / 4 and max(pushed) <= 1.0
     assert max(asked[1:]) > 2.5
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -66,7 +66,7 @@
 
 def fed(waits: list[float]) -> Rig:
     """A gateway whose class answers after 20 to 140 ms, evenly, to clients that wait so long."""
-    rig = Rig(gateways=200)
+    rig = Rig(gateway_count=200)
     for step in range(60):
         now = 1.0 + 40.0 * step
         wait, took = waits[step % len(waits)], 20.0 + 2.0 * (step * 37 % 60)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -210,7 +210,7 @@
     got = load({"GW_CONFIG": str(file), "GW_NAME": "n4", "GW_LISTEN": "[::1]:9001"})
     assert (got.name, got.listen, got.discovery) == ("n4", ("::1", 9001), ("127.0.0.1", 8500))
     assert (got.seed, got.sockets, got.connect_s, got.idle_s) == (255, 512, 0.25, 30.0)
-    assert got.body_bytes == 43 << 20 and got.settings.advice_ms == 500.0
+    assert got.body_bytes == 43 << 20 and got.settings.max_retry_after_ms == 500.0
     small = {**GOOD, "limits": {"memory_mb": 32}}
     file.write_text(json.dumps(small))
     assert load({"GW_CONFIG": str(file)}).body_bytes == 3 << 20
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -8,8 +8,8 @@
 from helpers import Rig, sends
 
 from ironstage import interface as api
-from ironstage import logic
-from ironstage.logic import Customer, MeterClock
+from ironstage import policy
+from ironstage.policy import Customer, MeterClock
 
 PLAN = api.Plan(rate=10, burst=20)
 
@@ -131,7 +131,7 @@
 
 def test_a_flood_of_customers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The longest idle go early, but none before its ceiling is full again: it would be passed."""
-    monkeypatch.setattr(logic, "MOST_CUSTOMERS", 50)
+    monkeypatch.setattr(policy, "MOST_CUSTOMERS", 50)
     slow = api.Plan(rate=1000, burst=2000, ceiling_rate=0.5, ceiling_depth=100.0)
     rig = Rig(plans=(slow,))
     now = 300_000.0
@@ -168,16 +168,16 @@
 
 def test_a_refusal_tells_when_to_come_back() -> None:
     """Soon where the quota has room; beyond it once the store holds the units, within the bound."""
-    rig = Rig([], plans=(api.Plan(rate=5, burst=1),), advice_ms=500)
+    rig = Rig([], plans=(api.Plan(rate=5, burst=1),), max_retry_after_ms=500)
     [refused] = rig.arrive(1.0, customer=1)
-    assert isinstance(refused, api.Refuse) and refused.retry_in_ms == logic.REFERENCE_MS
+    assert isinstance(refused, api.Refuse) and refused.retry_after_ms == policy.REFERENCE_MS
     beyond = rig.gateway.customers[1]
     beyond.usage, beyond.store.level = 300, -0.5
     [refused] = rig.arrive(1.0, customer=1)
-    assert isinstance(refused, api.Refuse) and refused.retry_in_ms == pytest.approx(300.0)
+    assert isinstance(refused, api.Refuse) and refused.retry_after_ms == pytest.approx(300.0)
     beyond.store.level = -9.0
     [refused] = rig.arrive(1.0, customer=1)
-    assert isinstance(refused, api.Refuse) and refused.retry_in_ms == 500.0
+    assert isinstance(refused, api.Refuse) and refused.retry_after_ms == 500.0
 
 
 def test_among_many_doors_one_try_of_a_light_customer_does_not_bar_the_next() -> None:
@@ -191,10 +191,10 @@
 
 def test_few_doors_weigh_own_tries_as_before() -> None:
     two, seven = (Customer(PLAN, doors, 0.0) for doors in (2, 7))
-    guess = logic.STORE_UNITS
+    guess = policy.STORE_UNITS
     for customer in (two, seven):
         part, rate = customer.part(), PLAN.rate / 1000.0
-        weight = guess / (logic.STORE_USE * rate) + part * PLAN.burst / rate
+        weight = guess / (policy.STORE_USE * rate) + part * PLAN.burst / rate
         assert customer.unseen()[1] == pytest.approx((1.0 - part) * guess / weight)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,7 +6,7 @@
 from helpers import BASE, CLASSES, Rig, kinds, sends, server
 
 from ironstage import interface as api
-from ironstage import logic
+from ironstage import policy
 
 SAFE, KEYED_ALL, KEYED_ZONE, UNSAFE = range(4)
 
@@ -27,17 +27,17 @@
 def test_unsafe_moves_on_after_proof_that_it_never_ran() -> None:
     rig = Rig([server(1), server(2), server(3)])
     (sent,) = sends(rig.arrive(1.0, UNSAFE))
-    (again,) = sends(rig.done(20.0, sent, "full"))
-    assert again.server != sent.server
+    (again,) = sends(rig.done(20.0, sent, "rejected"))
+    assert again.server_id != sent.server_id
     (last,) = sends(rig.done(40.0, again, "connect_failed", attempt=1))
-    assert kinds(rig.done(60.0, last, "full", attempt=2)) == ["Refuse"]
+    assert kinds(rig.done(60.0, last, "rejected", attempt=2)) == ["Refuse"]
 
 
 def test_safe_is_sent_again_after_an_error() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
     (again,) = sends(rig.done(20.0, sent, "error"))
-    assert again.server != sent.server
+    assert again.server_id != sent.server_id
 
 
 def test_keyed_stays_in_its_group() -> None:
@@ -45,7 +45,7 @@
     (sent,) = sends(rig.arrive(1.0, KEYED_ZONE))
     zone = {1: 0, 2: 1, 3: 0}
     actions = rig.done(20.0, sent, "reset")
-    assert all(zone[again.server] == zone[sent.server] for again in sends(actions))
+    assert all(zone[again.server_id] == zone[sent.server_id] for again in sends(actions))
     assert "Refuse" not in kinds(actions)
 
 
@@ -67,22 +67,22 @@
     rig = Rig(second_copies=True)
     (sent,) = sends(rig.arrive(1.0, KEYED_ALL))
     copies = [copy for now in range(50, 2000, 50) for copy in sends(rig.tick(float(now)))]
-    assert len(copies) <= 1 and all(copy.server != sent.server for copy in copies)
+    assert len(copies) <= 1 and all(copy.server_id != sent.server_id for copy in copies)
 
 
 def test_one_final_answer_when_deadline_and_outcome_race() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE, deadline=300.0))
-    assert sent.until_ms <= 301.0
+    assert sent.attempt_deadline_ms <= 301.0
     assert kinds(rig.done(301.0, sent, "timeout")) == ["Fail"]
-    assert rig.gateway.handle(301.0, api.Abandoned(sent.request)) == []
+    assert rig.gateway.handle(301.0, api.RequestAbandoned(sent.request_id)) == []
     assert rig.done(301.0, sent, "ok") == []
 
 
 def test_abandoned_is_withdrawn_and_never_answered() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, SAFE))
-    assert kinds(rig.gateway.handle(50.0, api.Abandoned(sent.request))) == ["Cancel"]
+    assert kinds(rig.gateway.handle(50.0, api.RequestAbandoned(sent.request_id))) == ["Cancel"]
     assert rig.done(52.0, sent, "cancelled") == []
     assert rig.gateway.requests == {}
 
@@ -90,7 +90,7 @@
 def test_moot_is_answered_and_draws_no_retry() -> None:
     rig = Rig()
     (sent,) = sends(rig.arrive(1.0, UNSAFE))
-    assert kinds(rig.done(1.0, sent, "moot")) == ["Refuse"]
+    assert kinds(rig.done(1.0, sent, "not_sent")) == ["Refuse"]
 
 
 @pytest.mark.parametrize("state", ["draining", "gone"])
@@ -98,13 +98,13 @@
     rig = Rig()
     rig.listed(5.0, server(1, state=state))
     for now in range(10, 40):
-        assert {sent.server for sent in sends(rig.arrive(float(now)))} == {2}
+        assert {sent.server_id for sent in sends(rig.arrive(float(now)))} == {2}
 
 
 def test_absence_from_a_complete_list_is_gone() -> None:
     rig = Rig()
     rig.listed(5.0, server(2), kind="full")
-    assert all(sent.server == 2 for now in range(10, 30) for sent in sends(rig.arrive(float(now))))
+    assert all(sent.server_id == 2 for now in range(10, 30) for sent in sends(rig.arrive(float(now))))
 
 
 def test_a_failed_list_keeps_the_last() -> None:
@@ -122,7 +122,7 @@
             rig.listed(now, server(1, started=now))
         for sent in sends(rig.arrive(now)):
             total += step >= 1500 and now < 16000.0
-            cold += sent.server == 1 and step >= 1500 and now < 16000.0
+            cold += sent.server_id == 1 and step >= 1500 and now < 16000.0
             rig.done(now + 5.0, sent, "ok", elapsed=5.0)
     assert total > 50
     assert cold <= total / 8 * BASE.cold_from * BASE.tip_multiple
@@ -182,14 +182,14 @@
     rig.done(1001.0, lost, "timeout", elapsed=1000.0)
     for now in range(1010, 1900, 10):
         (sent,) = sends(rig.arrive(float(now)))
-        assert sent.server != lost.server
+        assert sent.server_id != lost.server_id
         rig.done(now + 5.0, sent, "ok", elapsed=5.0)
     tried = set()
     for now in range(2100, 3000, 10):
         (sent,) = sends(rig.arrive(float(now)))
-        tried.add(sent.server)
+        tried.add(sent.server_id)
         rig.done(now + 5.0, sent, "ok", elapsed=5.0)
-    assert lost.server in tried
+    assert lost.server_id in tried
 
 
 def lossy_rig(slow: float) -> Rig:
@@ -207,11 +207,11 @@
     """overload of cca-main-later: servers work and answer, but a quarter of the answers is lost."""
     rig = lossy_rig(100.0)
     (sent,) = sends(rig.arrive(8100.0, SAFE))
-    assert sent.until_ms < 8100.0 + 600.0
+    assert sent.attempt_deadline_ms < 8100.0 + 600.0
     (once,) = sends(rig.arrive(8110.0, UNSAFE))
-    assert once.until_ms > 8110.0 + 1400.0
+    assert once.attempt_deadline_ms > 8110.0 + 1400.0
     (jam,) = sends(lossy_rig(800.0).arrive(8100.0, SAFE)) or [None]
-    assert jam is None or jam.until_ms > 8100.0 + 900.0
+    assert jam is None or jam.attempt_deadline_ms > 8100.0 + 900.0
 
 
 def test_an_idle_gateway_sets_no_timer() -> None:
@@ -224,14 +224,14 @@
 
 def test_hundreds_of_gateways_add_up_to_a_cold_servers_part() -> None:
     """big-1 of cca-main-later: each earns less than one send while a hall warms, and so it got none."""
-    rigs = [Rig([server(n) for n in range(1, 41)], gateways=200) for _ in range(60)]
+    rigs = [Rig([server(n) for n in range(1, 41)], gateway_count=200) for _ in range(60)]
     for seed, rig in enumerate(rigs):
         rig.gateway.rng.seed(seed)
         for now in range(0, 5000, 500):
             rig.done(now + 9.0, sends(rig.arrive(float(now + 1)))[0], "ok", elapsed=8.0)
         rig.listed(5000.0, server(1, started=5000.0))
     sent = sum(
-        s.server == 1
+        s.server_id == 1
         for rig in rigs
         for now in range(5010, 15000, 500)
         for s in sends(rig.arrive(float(now)))
@@ -243,7 +243,7 @@
 def test_where_half_the_fleet_is_cold_it_gets_its_warm_part_of_what_warm_servers_get() -> None:
     """zone+vast: cold servers stood idle for seconds while the other hall was pressed into time-outs."""
     halves = [server(n, started=1.0 if n > 20 else 0.0) for n in range(1, 41)]
-    rigs = [Rig(halves, gateways=60) for _ in range(60)]
+    rigs = [Rig(halves, gateway_count=60) for _ in range(60)]
     cold = warm = 0
     for seed, rig in enumerate(rigs):
         rig.gateway.rng.seed(seed)
@@ -251,8 +251,8 @@
             for sent in sends(rig.arrive(float(now))):
                 rig.done(now + 90.0, sent, "ok", elapsed=90.0)
                 cold, warm = (
-                    cold + (now > 4000 and sent.server > 20),
-                    warm + (now > 4000 and sent.server <= 20),
+                    cold + (now > 4000 and sent.server_id > 20),
+                    warm + (now > 4000 and sent.server_id <= 20),
                 )
     part = rig.gateway.fleet.warmth(rig.gateway.fleet.peers[40], 6500.0)
     assert 0.9 * part < cold / warm < 1.4 * part
@@ -260,8 +260,8 @@
 
 def test_where_hardly_a_server_is_warm_the_cold_rule_bounds_what_cold_ones_earn() -> None:
     rig = Rig([server(n, started=100.0 if n > 1 else 0.0) for n in range(1, 41)])
-    sent = [s.server for n in range(400) for s in sends(rig.arrive(100.0 + 10.0 * n))]
-    flow, bound = len(sent) / 40, logic.COLD_MOST * BASE.tip_multiple
+    sent = [s.server_id for n in range(400) for s in sends(rig.arrive(100.0 + 10.0 * n))]
+    flow, bound = len(sent) / 40, policy.COLD_MOST * BASE.tip_multiple
     warmth = rig.gateway.fleet.warmth(rig.gateway.fleet.peers[40], 4100.0)
     first = 39 * 0.5  # each one's first is due at random
     assert sum(number > 1 for number in sent) - first < 39 * flow * bound * warmth
@@ -278,17 +278,17 @@
     rig = Rig([server(n, zone=n % 2) for n in range(1, 21)])
     for now in range(10, 400, 10):
         for sent in sends(rig.arrive(float(now))):
-            status = "connect_failed" if sent.server % 2 else "ok"
+            status = "connect_failed" if sent.server_id % 2 else "ok"
             for again in sends(rig.done(now + 2.0, sent, status)):
-                rig.done(now + 4.0, again, "connect_failed" if again.server % 2 else "ok", attempt=1)
-    first = [sends(rig.arrive(500.0 + n))[0].server % 2 for n in range(20)]
+                rig.done(now + 4.0, again, "connect_failed" if again.server_id % 2 else "ok", attempt=1)
+    first = [sends(rig.arrive(500.0 + n))[0].server_id % 2 for n in range(20)]
     assert sum(first) == 0
-    assert any(sends(rig.arrive(2500.0 + n))[0].server % 2 for n in range(30))
+    assert any(sends(rig.arrive(2500.0 + n))[0].server_id % 2 for n in range(30))
 
 
 def test_a_missing_report_is_not_idleness() -> None:
     """big-1 of tacoma-east-later: servers not heard of lately were taken for idle ones."""
-    rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), gateways=300)
+    rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), gateway_count=300)
     fleet = rig.gateway.fleet
     for now in range(1, 40):
         fleet.report(float(now), 1, (9.0,))
@@ -306,7 +306,7 @@
         now = 10.0 * step + 1
         broken = step < 1000
         for sent in sends(rig.arrive(now, UNSAFE)):
-            bad = broken and sent.server == 1
+            bad = broken and sent.server_id == 1
             failed += bad
             rig.done(now + 1.0, sent, "error" if bad or step % 50 == 0 else "ok", elapsed=1.0)
     assert failed < 20
@@ -325,7 +325,7 @@
         rig.done(now + 5.0, sent, status, elapsed=elapsed)
     now = 2000.0
     rig.tick(now)
-    left = {cls: sends(rig.arrive(now, cls))[0].until_ms - now for cls in (SAFE, UNSAFE)}
+    left = {cls: sends(rig.arrive(now, cls))[0].attempt_deadline_ms - now for cls in (SAFE, UNSAFE)}
     assert left[UNSAFE] == CLASSES[UNSAFE].aim_ms
     assert (left[SAFE] < CLASSES[SAFE].aim_ms) is (strays > 0 and late == 0)
 
@@ -344,11 +344,11 @@
 
 def trials(gateways: int, seconds: int = 30) -> list[float]:
     """When a server that never answers gets a request, the first one included."""
-    rig = Rig([server(n) for n in range(1, 5)], gateways=gateways)
+    rig = Rig([server(n) for n in range(1, 5)], gateway_count=gateways)
     at = []
     for now in range(100, seconds * 1000, 100):
         for sent in sends(rig.arrive(float(now))):
-            dead = sent.server == 1
+            dead = sent.server_id == 1
             at += [float(now)] * dead
             rig.done(now + 90.0, sent, "timeout" if dead else "ok", elapsed=90.0, closed=True)
     return at
@@ -366,36 +366,36 @@
     fleet = rig.gateway.fleet
     fleet.doubt(fleet.peers[1], 0.0)
     before = fleet.peers[1].retest_ms
-    sent = next(s for now in range(1500, 1700, 10) for s in sends(rig.arrive(float(now))) if s.server == 1)
-    rig.done(1800.0, sent, "full")
+    sent = next(s for now in range(1500, 1700, 10) for s in sends(rig.arrive(float(now))) if s.server_id == 1)
+    rig.done(1800.0, sent, "rejected")
     assert fleet.peers[1].suspect and fleet.peers[1].retest_ms > before
 
 
 def test_an_answer_from_a_zone_brings_its_other_suspects_their_trials() -> None:
-    rig = Rig([server(n, zone=n % 2) for n in range(1, 9)], gateways=40)
+    rig = Rig([server(n, zone=n % 2) for n in range(1, 9)], gateway_count=40)
     fleet = rig.gateway.fleet
     for _ in range(4):
         for peer in fleet.ready:
             fleet.doubt(peer, 0.0)
     fleet.clear(fleet.peers[1], 5000.0)
-    soon = {n for n, peer in fleet.peers.items() if peer.retest_ms <= 5000.0 + 2 * logic.RETEST_MS}
+    soon = {n for n, peer in fleet.peers.items() if peer.retest_ms <= 5000.0 + 2 * policy.RETEST_MS}
     assert soon >= {3, 5, 7} and not soon & {2, 4, 6, 8}
 
 
 def test_a_server_doubted_without_end_gets_its_trials_all_the_same() -> None:
     """join+mass: 14**271 is no float; the request under way failed and never gave back its slot."""
-    fleet = Rig([server(1)], gateways=200).gateway.fleet
+    fleet = Rig([server(1)], gateway_count=200).gateway.fleet
     for _ in range(2000):
         fleet.doubt(fleet.peers[1], 1000.0)
-    most = logic.RETEST_MS * logic.RETEST_MOST * fleet.patience
-    assert most <= fleet.peers[1].retest_ms - 1000.0 <= most * (1 + logic.JITTER)
+    most = policy.RETEST_MS * policy.RETEST_MOST * fleet.patience
+    assert most <= fleet.peers[1].retest_ms - 1000.0 <= most * (1 + policy.JITTER)
 
 
 def held(gateways: int) -> tuple[int, float]:
     """The most, and the late mean, that a lane holds at threshold 1 when it is asked for three at a time."""
-    rig, out, counts = Rig(gateways=gateways), [], []
-    rig.gateway.rerun_ms = logic.INF  # the thresholds stay
-    rig.gateway.caps = (1.0, logic.INF)
+    rig, out, counts = Rig(gateway_count=gateways), [], []
+    rig.gateway.rerun_ms = policy.INF  # the thresholds stay
+    rig.gateway.caps = (1.0, policy.INF)
     for now in range(100, 60_000, 100):
         while out and out[0][0] <= now:
             rig.done(float(now), out.pop(0)[1], "ok", elapsed=300.0)
@@ -413,14 +413,14 @@
 
 def test_of_full_servers_the_longest_unasked_is_tried_and_further_attempts_end() -> None:
     """join+mass: a server that looked free, full for all, got 2,142 of 3,651 lost tries in a second."""
-    rig = Rig([server(n) for n in range(1, 5)], gateways=200, max_attempts=5)
+    rig = Rig([server(n) for n in range(1, 5)], gateway_count=200, max_attempts=5)
     asked: list[int] = []
     for now in range(10, 4010, 100):
         actions = rig.arrive(float(now))
         tries = 0
         while sent := sends(actions):
-            asked.append(sent[0].server)
-            actions = rig.done(now + 1.0, sent[0], "full", attempt=tries)
+            asked.append(sent[0].server_id)
+            actions = rig.done(now + 1.0, sent[0], "rejected", attempt=tries)
             tries += 1
         assert kinds(actions) == ["Refuse"]
     assert len(asked) == 4 + 39 and max(asked.count(n) for n in range(1, 5)) < len(asked) / 2
@@ -446,14 +446,14 @@
     gateway = rig.gateway
     assert gateway.lossy
     [sent] = sends(rig.arrive(8010.0))
-    rig.done(8011.0, sent, "full", elapsed=1.0)
+    rig.done(8011.0, sent, "rejected", elapsed=1.0)
     rig.tick(8600.0)
     assert not gateway.lossy
 
 
 def test_a_swing_passes_whole_while_the_lanes_mean_is_below_its_threshold() -> None:
     """calm+mass: with a root that shrank on the way there, caps refused on a day without a fault."""
-    gateway = Rig(gateways=200).gateway
+    gateway = Rig(gateway_count=200).gateway
     gateway.caps, gateway.count = (4.0, 4.0), [6, 6]
     gateway.mean_out = [3.0, 4.5]
     assert gateway._room(0) == pytest.approx(1.0)
@@ -462,13 +462,13 @@
 
 def choices(gap: float, servers: int = 40) -> list[int]:
     """Which servers are sent to, one request each `gap` ms, where number 1 alone is slow."""
-    rig = Rig([server(n) for n in range(1, servers + 1)], gateways=200)
+    rig = Rig([server(n) for n in range(1, servers + 1)], gateway_count=200)
     chosen = []
     for n in range(400):
         now = 100.0 + gap * n
         for sent in sends(rig.arrive(now, customer=n)):
-            chosen.append(sent.server)
-            took = 5.0 if sent.server > 1 else 900.0
+            chosen.append(sent.server_id)
+            took = 5.0 if sent.server_id > 1 else 900.0
             rig.done(now + 5.0, sent, "ok", elapsed=took)
     return chosen
 
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ironstage.logic import BOUND, j_sums, sole_caller, thresholds
+from ironstage.policy import BOUND, j_sums, sole_caller, thresholds
 
 TABLE_1 = [(0.80, 32, 5), (0.85, 23, 5), (0.90, 20, 5), (1.00, 18, 5), (1.20, 16, 5), (1.50, 15, 5)]
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -23,7 +23,7 @@
     unused_address,
 )
 
-from ironstage.interface import Status
+from ironstage.interface import CallStatus
 from ironstage.net import servers as servers_module
 from ironstage.net.servers import Reply, Servers
 
@@ -303,7 +303,7 @@
         await asyncio.get_running_loop().sock_recv(peer, 100)
         if not timed_out:
             peer.close()
-        assert (await task).status is Status.CONNECT_FAILED
+        assert (await task).status is CallStatus.CONNECT_FAILED
 
     run(test())
 
@@ -318,14 +318,14 @@
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         peer.send(OK)
-        assert (await first).status is Status.OK
+        assert (await first).status is CallStatus.OK
         peer.close()
         ended: asyncio.Future[Reply] = loop.create_future()
         servers.send(1, REQUEST, loop.time() + 20, ended.set_result)  # no turn of the loop between
         peer = await listener.accept()
         assert await loop.sock_recv(peer, 100) == REQUEST
         peer.send(OK)
-        assert (await ended).status is Status.OK
+        assert (await ended).status is CallStatus.OK
 
     run(test())
 
@@ -379,7 +379,7 @@
         await loop.sock_recv(peer, 100)
         attempt.cancel()
         assert peer.recv(1) == b""  # at once, without a turn of the loop
-        assert (await ended).status is Status.CANCELLED
+        assert (await ended).status is CallStatus.CANCELLED
 
     run(test())
 
@@ -417,13 +417,13 @@
             for number, server in enumerate((one, two)):
                 name, port = server.address.split(":")
                 servers.place(number, (name, int(port)), True)
-            assert (await outcome(servers, 0, REQUEST)).status is Status.OK
+            assert (await outcome(servers, 0, REQUEST)).status is CallStatus.OK
             task = asyncio.create_task(outcome(servers, 1, REQUEST))
             await one.requests[0].closed()
             held = await two.arrived.get()
-            assert (await outcome(servers, 0, REQUEST)).status is Status.CONNECT_FAILED
+            assert (await outcome(servers, 0, REQUEST)).status is CallStatus.CONNECT_FAILED
             held.reply()
-            assert (await task).status is Status.OK
+            assert (await task).status is CallStatus.OK
 
     run(test())
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -114,7 +114,7 @@
 
 def steps(count: int) -> int:
     """How many lines the module runs for as many changes of one server each."""
-    rig, lines = Rig([], gateways=MOST), 0
+    rig, lines = Rig([], gateway_count=MOST), 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
         nonlocal lines
@@ -137,11 +137,11 @@
 
 
 def test_each_of_a_thousand_servers_can_be_chosen() -> None:
-    rig = Rig([server(n) for n in range(MOST)], gateways=MOST)
+    rig = Rig([server(n) for n in range(MOST)], gateway_count=MOST)
     chosen = set()
     for n in range(16 * MOST):
         for sent in sends(rig.arrive(100.0 * n, customer=n)):
-            chosen.add(sent.server)
+            chosen.add(sent.server_id)
             rig.done(100.0 * n + 5.0, sent, "ok", elapsed=5.0)
     assert len(chosen) == MOST
 
@@ -160,7 +160,7 @@
     tracemalloc.start()
     try:
         made = load({"GW_CONFIG": str(file), "GW_LISTEN": unused_address()})
-        assert made.settings.gateways == MOST and made.settings.me == MOST - 1
+        assert made.settings.gateway_count == MOST and made.settings.gateway_id == MOST - 1
 
         async def test() -> None:
             terms = f"units=1,spread={MOST},first={MOST - 1}"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -11,8 +11,8 @@
 import pytest
 
 from ironstage import interface as api
-from ironstage import wire
-from ironstage.drill import Host, read_frame
+from ironstage import simulator_protocol
+from ironstage.simulator_adapter import Host, read_frame
 
 SETTINGS = {
     "balancers": 3,
@@ -53,26 +53,31 @@
         "0b00000003 020007e3055d3a91c4000001000000003f8000004000000040c0e6200000000040400000"
         "91f03b7c55d20a64 060000004d 0b00000005 0500041ce00e6f2b19".replace(" ", "")
     )
-    records = wire.decode_batch(5, raw)
+    records = simulator_protocol.decode_batch(5, raw)
     assert [instance for instance, _ in records] == [3, 3, 5]
     arrival = records[0][1]
-    assert isinstance(arrival, api.Arrival)
-    assert arrival.request == 0x7E3055D3A91C4 and arrival.units == 2.0
+    assert isinstance(arrival, api.RequestArrived)
+    assert arrival.request_id == 0x7E3055D3A91C4 and arrival.units == 2.0
     assert records[1][1] == api.TimerFired(0x4D)
-    assert records[2][1] == api.Abandoned(0x41CE00E6F2B19)
+    assert records[2][1] == api.RequestAbandoned(0x41CE00E6F2B19)
 
 
 def test_the_documented_outcome() -> None:
     raw = bytes.fromhex(
         "0b00000003 040007e3055d3a91c40003124a0700c84032800000000000010056000300".replace(" ", "")
     )
-    ((_, done),) = wire.decode_batch(2, raw)
-    assert isinstance(done, api.Outcome)
-    assert done.status is api.Status.OK and done.usage == 85 and done.units == 3 and done.closed
+    ((_, done),) = simulator_protocol.decode_batch(2, raw)
+    assert isinstance(done, api.AttemptEnded)
+    assert (
+        done.status is api.CallStatus.OK
+        and done.usage_percent == 85
+        and done.charged_units == 3
+        and done.request_closed
+    )
 
 
 def test_the_documented_actions() -> None:
-    got = wire.encode_reply(
+    got = simulator_protocol.encode_reply(
         [
             (3, [api.Send(0x7E3055D3A91C4, 0x03124A07, 8492.0), api.SetTimer(500.0, 0x4D)]),
             (4, []),
@@ -94,16 +99,16 @@
     api.Fail(1),
     api.Probe(2),
     api.Subscribe(),
-    api.FetchList(),
-    api.CloseIdle(2),
-    api.Tell(None, b"hi"),
+    api.FetchServerList(),
+    api.CloseIdleConnections(2),
+    api.SendPeerMessage(None, b"hi"),
     api.CounterAdd(3, 4.0, 3000.0),
 ]
 
 
 @pytest.mark.parametrize("action", ACTIONS, ids=lambda a: type(a).__name__)
 def test_every_action_is_framed(action: api.Action) -> None:
-    got = wire.encode_reply([(0, [action])])
+    got = simulator_protocol.encode_reply([(0, [action])])
     assert struct.unpack(">I", got[:4])[0] == len(got) - 4 > 5
 
 
@@ -118,19 +123,19 @@
     ],
 )
 def test_bad_frames_are_named(count: int, body: bytes, words: str) -> None:
-    with pytest.raises(wire.WireError, match=words):
-        wire.decode_batch(count, body)
+    with pytest.raises(simulator_protocol.WireError, match=words):
+        simulator_protocol.decode_batch(count, body)
 
 
 def test_settings_defaults_and_missing_keys() -> None:
-    parsed = wire.parse_settings(json.dumps(SETTINGS).encode())
-    assert parsed.meter_ms == 0 and not parsed.may_probe and parsed.plans[0].parallel == 0
+    parsed = simulator_protocol.parse_settings(json.dumps(SETTINGS).encode())
+    assert parsed.metering_ms == 0 and not parsed.may_probe and parsed.plans[0].parallel == 0
     for path, name in (("me", "me"), ("guarantees", "guarantees")):
         raw = {key: value for key, value in SETTINGS.items() if key != path}
-        with pytest.raises(wire.WireError, match=name):
-            wire.parse_settings(json.dumps(raw).encode())
-    with pytest.raises(wire.WireError, match="not JSON"):
-        wire.parse_settings(b"{")
+        with pytest.raises(simulator_protocol.WireError, match=name):
+            simulator_protocol.parse_settings(json.dumps(raw).encode())
+    with pytest.raises(simulator_protocol.WireError, match="not JSON"):
+        simulator_protocol.parse_settings(b"{")
 
 
 def test_a_repeated_start_begins_anew_and_an_empty_batch_is_answered() -> None:
@@ -144,7 +149,7 @@
 
 def run(data: bytes) -> subprocess.CompletedProcess[bytes]:
     return subprocess.run(
-        [sys.executable, "-m", "ironstage.drill"], input=data, capture_output=True, check=False
+        [sys.executable, "-m", "ironstage.simulator_adapter"], input=data, capture_output=True, check=False
     )
 
 
