--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ironstage import interface as api
-from ironstage.simulator_protocol import MOST, WireError, parse_settings
+from ironstage.simulator_protocol import SETTING_VALUE_LIMIT, ProtocolError, parse_settings
 
 Address = tuple[str, int]
 
@@ -63,7 +63,7 @@
 
 def _number(raw: dict[str, Any], key: str, default: float, least: float = 0.0) -> float:
     value = raw.get(key, default)
-    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < MOST:
+    if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < SETTING_VALUE_LIMIT:
         raise ConfigError(f"{key} is not a number above 0, or beyond sense")
     if value < least:
         raise ConfigError(f"{key} is {value}, under the {least:g} that a limiter needs")
@@ -107,7 +107,7 @@
     ceilings = _object(settings, "ceilings")
     try:
         decoded = parse_settings(json.dumps(settings).encode())
-    except WireError as error:
+    except ProtocolError as error:
         raise ConfigError(str(error)) from None
     zones = settings.get("zones", [])
     return Config(
--- a/ironstage/simulator_adapter.py
+++ b/ironstage/simulator_adapter.py
@@ -25,7 +25,7 @@
                 groups.append((instance, []))
             try:
                 groups[-1][1].extend(self._handle(instance, now, record))
-            except simulator_protocol.WireError:
+            except simulator_protocol.ProtocolError:
                 raise
             except Exception as error:
                 traceback.print_exc()
@@ -42,7 +42,9 @@
             self._gateways.pop(instance, None)
             return []
         if instance not in self._gateways:
-            raise simulator_protocol.WireError(f"event for instance {instance}, which has not been started")
+            raise simulator_protocol.ProtocolError(
+                f"event for instance {instance}, which has not been started"
+            )
         return self._gateways[instance].handle(now, record)
 
 
@@ -52,11 +54,13 @@
     if not head:
         return None
     if len(head) < simulator_protocol.BATCH_HEAD.size:
-        raise simulator_protocol.WireError(f"input ends inside a header, after {len(head)} bytes")
+        raise simulator_protocol.ProtocolError(f"input ends inside a header, after {len(head)} bytes")
     size, now, count = simulator_protocol.BATCH_HEAD.unpack(head)
     body = stream.read(size)
     if len(body) < size:
-        raise simulator_protocol.WireError(f"input ends inside a frame, after {len(body)} of {size} bytes")
+        raise simulator_protocol.ProtocolError(
+            f"input ends inside a frame, after {len(body)} of {size} bytes"
+        )
     return now, count, body
 
 
@@ -68,7 +72,7 @@
             sink.write(host.reply(*frame))
             sink.flush()
             number += 1
-    except simulator_protocol.WireError as error:
+    except simulator_protocol.ProtocolError as error:
         print(f"ironstage.simulator_adapter: frame {number}: {error}", file=sys.stderr)
         return 2
     return 0
--- a/ironstage/simulator_protocol.py
+++ b/ironstage/simulator_protocol.py
@@ -11,7 +11,7 @@
 from ironstage import interface as api
 
 
-class WireError(ValueError):
+class ProtocolError(ValueError):
     """A frame or settings text that the protocol does not allow; says what and where."""
 
 
@@ -72,13 +72,13 @@
         try:
             values = form.unpack_from(self.data, self.at)
         except struct.error:
-            raise WireError(f"record cut short at byte {self.at} of the frame's body") from None
+            raise ProtocolError(f"record cut short at byte {self.at} of the frame's body") from None
         self.at += form.size
         return values
 
     def blob(self, size: int) -> bytes:
         if self.at + size > len(self.data):
-            raise WireError(f"{size} bytes announced at byte {self.at}, fewer are left")
+            raise ProtocolError(f"{size} bytes announced at byte {self.at}, fewer are left")
         part = self.data[self.at : self.at + size]
         self.at += size
         return part
@@ -104,7 +104,7 @@
     try:
         return STATUSES[code]
     except KeyError:
-        raise WireError(f"unknown outcome code {code}") from None
+        raise ProtocolError(f"unknown outcome code {code}") from None
 
 
 def _report(reader: _Reader) -> tuple[float, ...]:
@@ -121,12 +121,12 @@
 def _view(reader: _Reader) -> api.ServerList:
     scope, _, count = reader.take(_VIEW)
     if scope not in LIST_KINDS:
-        raise WireError(f"unknown list scope {scope}")
+        raise ProtocolError(f"unknown list scope {scope}")
     servers = []
     for _ in range(count):
         ident, zone, _, cell, state, rating, started = reader.take(_ENTRY)
         if state >= len(STATES):
-            raise WireError(f"unknown readiness {state} of server {ident}")
+            raise ProtocolError(f"unknown readiness {state} of server {ident}")
         servers.append(api.Server(ident, zone, cell, STATES[state], rating, started))
     return api.ServerList(LIST_KINDS[scope], tuple(servers))
 
@@ -191,12 +191,12 @@
             (instance,) = reader.take(_U32)
             continue
         if code not in _DECODERS:
-            raise WireError(f"unknown record code {code} in record {index} at byte {reader.at - 1}")
+            raise ProtocolError(f"unknown record code {code} in record {index} at byte {reader.at - 1}")
         if instance is None:
-            raise WireError(f"record {index} comes before any target_instance")
+            raise ProtocolError(f"record {index} comes before any target_instance")
         records.append((instance, _DECODERS[code](reader)))
     if reader.at != len(body):
-        raise WireError(f"{len(body) - reader.at} bytes left after the last of {count} records")
+        raise ProtocolError(f"{len(body) - reader.at} bytes left after the last of {count} records")
     return records
 
 
@@ -257,7 +257,7 @@
     return _U32.pack(len(body)) + body
 
 
-MOST = 1e15  # of any setting; far beyond what one means, and still exact as a float
+SETTING_VALUE_LIMIT = 1e15  # of any setting; far beyond what one means, and still exact as a float
 
 
 class _Table:
@@ -265,7 +265,7 @@
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
-            raise WireError(f"settings: {path or 'the text'} is not an object")
+            raise ProtocolError(f"settings: {path or 'the text'} is not an object")
         self.raw = raw
         self.path = path
 
@@ -274,44 +274,44 @@
 
     def table(self, key: str) -> _Table:
         if key not in self.raw:
-            raise WireError(f"settings: {self._name(key)} is missing")
+            raise ProtocolError(f"settings: {self._name(key)} is missing")
         return _Table(self.raw[key], self._name(key))
 
     def tables(self, key: str) -> list[_Table]:
         rows = self.raw.get(key)
         if not isinstance(rows, list):
-            raise WireError(f"settings: {self._name(key)} is missing or not a list")
+            raise ProtocolError(f"settings: {self._name(key)} is missing or not a list")
         return [_Table(row, f"{self._name(key)}[{i}]") for i, row in enumerate(rows)]
 
     def number(self, key: str, default: float | None = None, least: float = 0.0) -> float:
         value = self.raw.get(key, default)
         if value is None:
-            raise WireError(f"settings: {self._name(key)} is missing")
+            raise ProtocolError(f"settings: {self._name(key)} is missing")
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise WireError(f"settings: {self._name(key)} is not a number")
-        if not least <= value < MOST:  # nor NaN nor infinite, which JSON's reader lets pass
-            raise WireError(f"settings: {self._name(key)} is out of range: {value}")
+            raise ProtocolError(f"settings: {self._name(key)} is not a number")
+        if not least <= value < SETTING_VALUE_LIMIT:  # nor NaN nor infinite, which JSON's reader lets pass
+            raise ProtocolError(f"settings: {self._name(key)} is out of range: {value}")
         return float(value)
 
     def flag(self, key: str) -> bool:
         value = self.raw.get(key, False)
         if not isinstance(value, bool):
-            raise WireError(f"settings: {self._name(key)} is not true or false")
+            raise ProtocolError(f"settings: {self._name(key)} is not true or false")
         return value
 
     def word(self, key: str, default: str | None = None) -> str:
         value = self.raw.get(key, default)
         if not isinstance(value, str):
-            raise WireError(f"settings: {self._name(key)} is missing or not a text")
+            raise ProtocolError(f"settings: {self._name(key)} is missing or not a text")
         return value
 
 
 def _request_class(row: _Table) -> api.RequestClass:
     effect, scope = row.word("effect"), row.word("dedupScope", "all")
     if effect not in EFFECTS:
-        raise WireError(f"settings: {row.path}.effect is unknown: {effect}")
+        raise ProtocolError(f"settings: {row.path}.effect is unknown: {effect}")
     if scope not in {s.value for s in api.DedupScope}:
-        raise WireError(f"settings: {row.path}.dedupScope is unknown: {scope}")
+        raise ProtocolError(f"settings: {row.path}.dedupScope is unknown: {scope}")
     return api.RequestClass(
         aim_ms=row.number("aimMs"),
         deadline_ms=row.number("hardLimitMs"),
@@ -343,7 +343,7 @@
 def _fields(report: _Table) -> tuple[str, ...]:
     raw = report.raw.get("fields", [])
     if not isinstance(raw, list):
-        raise WireError("settings: report.fields is not a list")
+        raise ProtocolError("settings: report.fields is not a list")
     return tuple(REPORT_NAMES.get(str(name), str(name)) for name in raw)
 
 
@@ -352,9 +352,9 @@
     try:
         root = _Table(json.loads(text), "")
     except ValueError as error:
-        if isinstance(error, WireError):
+        if isinstance(error, ProtocolError):
             raise
-        raise WireError(f"settings: not JSON: {error}") from None
+        raise ProtocolError(f"settings: not JSON: {error}") from None
     rules, limits = root.table("guarantees"), root.table("ceilings")
     extra = root.table("specifics") if "specifics" in root.raw else _Table({}, "specifics")
     report = root.table("report") if "report" in root.raw else _Table({}, "report")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -123,7 +123,7 @@
     ],
 )
 def test_bad_frames_are_named(count: int, body: bytes, words: str) -> None:
-    with pytest.raises(simulator_protocol.WireError, match=words):
+    with pytest.raises(simulator_protocol.ProtocolError, match=words):
         simulator_protocol.decode_batch(count, body)
 
 
@@ -132,9 +132,9 @@
     assert parsed.metering_ms == 0 and not parsed.may_probe and parsed.plans[0].parallel == 0
     for path, name in (("me", "me"), ("guarantees", "guarantees")):
         raw = {key: value for key, value in SETTINGS.items() if key != path}
-        with pytest.raises(simulator_protocol.WireError, match=name):
+        with pytest.raises(simulator_protocol.ProtocolError, match=name):
             simulator_protocol.parse_settings(json.dumps(raw).encode())
-    with pytest.raises(simulator_protocol.WireError, match="not JSON"):
+    with pytest.raises(simulator_protocol.ProtocolError, match="not JSON"):
         simulator_protocol.parse_settings(b"{")
 
 
