--- a/ironstage/simulator_adapter.py
+++ b/ironstage/simulator_adapter.py
@@ -1,4 +1,8 @@
-"""`python -m ironstage.simulator_adapter`: the decision module on the simulator's wire."""
+"""Runs the decision module under the simulator: `python -m ironstage.simulator_adapter`.
+
+Reads batch frames of events from standard input and writes one reply frame of actions to standard output
+for each; `ironstage.simulator_protocol` defines both. The process ends with its input.
+"""
 
 from __future__ import annotations
 
@@ -11,69 +15,76 @@
 from ironstage.policy import Gateway
 
 
-class Host:
-    """Isolated gateways, one for each instance; nothing passes between them."""
+class GatewayInstances:
+    """The simulated gateways by instance number; they share no state."""
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
 
-    def reply(self, now: float, count: int, body: bytes) -> bytes:
-        records = simulator_protocol.decode_batch(count, body)
+    def process_batch(self, now_ms: float, record_count: int, body: bytes) -> bytes:
+        """Pass the records of a batch to their instances and return the reply frame.
+
+        Actions keep the order of the records that caused them. If a gateway raises an exception, the rest
+        of the batch is skipped and the reply holds an internal error in place of all actions.
+        `ProtocolError` is raised to the caller.
+        """
+        records = simulator_protocol.decode_batch(record_count, body)
         groups: list[tuple[int, list[api.Action]]] = []
         for instance, record in records:
             if not groups or groups[-1][0] != instance:
                 groups.append((instance, []))
             try:
-                groups[-1][1].extend(self._handle(instance, now, record))
+                groups[-1][1].extend(self._handle(instance, now_ms, record))
             except simulator_protocol.ProtocolError:
                 raise
             except Exception as error:
                 traceback.print_exc()
-                cause = traceback.extract_tb(error.__traceback__)[-1]
-                where = f"{cause.filename.rsplit('/', 1)[-1]}:{cause.lineno}"
-                return simulator_protocol.encode_fault(instance, f"{type(error).__name__}: {error} ({where})")
+                innermost_frame = traceback.extract_tb(error.__traceback__)[-1]
+                location = f"{innermost_frame.filename.rsplit('/', 1)[-1]}:{innermost_frame.lineno}"
+                return simulator_protocol.encode_internal_error(
+                    instance, f"{type(error).__name__}: {error} ({location})"
+                )
         return simulator_protocol.encode_reply(groups)
 
-    def _handle(self, instance: int, now: float, record: simulator_protocol.Record) -> list[api.Action]:
-        if isinstance(record, simulator_protocol.Spawn):
+    def _handle(self, instance: int, now_ms: float, record: simulator_protocol.Record) -> list[api.Action]:
+        if isinstance(record, simulator_protocol.StartInstance):
             self._gateways[instance] = Gateway(record.settings, record.seed)
             return []
-        if isinstance(record, simulator_protocol.Teardown):
+        if isinstance(record, simulator_protocol.StopInstance):
             self._gateways.pop(instance, None)
             return []
         if instance not in self._gateways:
-            raise simulator_protocol.ProtocolError(
-                f"event for instance {instance}, which has not been started"
-            )
-        return self._gateways[instance].handle(now, record)
+            raise simulator_protocol.ProtocolError(f"event for instance {instance}, which is not running")
+        return self._gateways[instance].handle(now_ms, record)
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Clock, record count and records of the next batch, or None at a clean end of input."""
-    head = stream.read(simulator_protocol.BATCH_HEAD.size)
-    if not head:
+    """Read a batch frame: its time in ms, record count and body, or None at a clean end of input."""
+    header = stream.read(simulator_protocol.BATCH_HEADER.size)
+    if not header:
         return None
-    if len(head) < simulator_protocol.BATCH_HEAD.size:
-        raise simulator_protocol.ProtocolError(f"input ends inside a header, after {len(head)} bytes")
-    size, now, count = simulator_protocol.BATCH_HEAD.unpack(head)
-    body = stream.read(size)
-    if len(body) < size:
+    if len(header) < simulator_protocol.BATCH_HEADER.size:
+        raise simulator_protocol.ProtocolError(f"input ends inside a frame header, after {len(header)} bytes")
+    body_size, now_ms, record_count = simulator_protocol.BATCH_HEADER.unpack(header)
+    body = stream.read(body_size)
+    if len(body) < body_size:
         raise simulator_protocol.ProtocolError(
-            f"input ends inside a frame, after {len(body)} of {size} bytes"
+            f"input ends inside a frame body, after {len(body)} of {body_size} bytes"
         )
-    return now, count, body
+    return now_ms, record_count, body
 
 
 def main() -> int:
-    host, source, sink = Host(), sys.stdin.buffer, sys.stdout.buffer
-    number = 0
+    """Answer batches until the input ends; returns the exit status, 2 after a protocol error."""
+    instances, source, sink = GatewayInstances(), sys.stdin.buffer, sys.stdout.buffer
+    frame_index = 0
     try:
         while (frame := read_frame(source)) is not None:
-            sink.write(host.reply(*frame))
+            sink.write(instances.process_batch(*frame))
             sink.flush()
-            number += 1
+            frame_index += 1
     except simulator_protocol.ProtocolError as error:
-        print(f"ironstage.simulator_adapter: frame {number}: {error}", file=sys.stderr)
+        print(f"ironstage.simulator_adapter: frame {frame_index}: {error}", file=sys.stderr)
         return 2
     return 0
 
--- a/ironstage/simulator_protocol.py
+++ b/ironstage/simulator_protocol.py
@@ -1,4 +1,14 @@
-"""The simulator's wire: frames to events, actions to frames. Nothing here decides."""
+"""The binary protocol between the simulator and the decision module.
+
+The simulator sends batch frames, which are decoded into events; each batch is answered by one reply
+frame, encoded from the actions that the events caused. This module makes no decisions.
+
+All numbers are big endian, and all times and durations are milliseconds. A batch frame is a header (length
+of the body in bytes, current time, number of records) and a body of records. A reply frame is the length of
+its body in bytes and the body. A record is a one-byte code followed by its fields. In both directions a
+record that selects an instance applies to the records after it; a batch may hold the events of several
+simulated gateways. The settings of an instance are a JSON object inside the record that starts it.
+"""
 
 from __future__ import annotations
 
@@ -12,23 +22,31 @@
 
 
 class ProtocolError(ValueError):
-    """A frame or settings text that the protocol does not allow; says what and where."""
+    """Input that violates the protocol: a malformed frame or invalid settings.
+
+    The message names the fault and its place: a byte offset, a record or the path of a settings key.
+    """
 
 
 @dataclass(frozen=True, slots=True)
-class Spawn:
+class StartInstance:
+    """Record: start a simulated gateway, or replace a running one by a new one.
+
+    `seed` initialises the gateway's random number generator.
+    """
+
     seed: int
     settings: api.Settings
 
 
 @dataclass(frozen=True, slots=True)
-class Teardown:
-    pass
+class StopInstance:
+    """Record: discard a simulated gateway and its state."""
 
 
-Record = api.Event | Spawn | Teardown
+Record = api.Event | StartInstance | StopInstance
 
-STATUSES = {
+STATUS_BY_CODE = {
     200: api.CallStatus.OK,
     502: api.CallStatus.ERROR,
     429: api.CallStatus.REJECTED,
@@ -38,19 +56,20 @@
     444: api.CallStatus.CANCELLED,
     409: api.CallStatus.NOT_SENT,
 }
-STATES = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
-LIST_KINDS = {
+SERVER_STATE_BY_CODE = (api.ServerState.GONE, api.ServerState.READY, api.ServerState.DRAINING)
+LIST_KIND_BY_CODE = {
     0: api.ListKind.DELTA,
     2: api.ListKind.FULL,
     3: api.ListKind.CACHED,
     4: api.ListKind.FAILED,
 }
-EFFECTS = {
+RETRY_SAFETY_BY_NAME = {
     "idempotent": api.RetrySafety.IDEMPOTENT,
     "deduplicated": api.RetrySafety.DEDUPLICATED,
     "at_most_once": api.RetrySafety.AT_MOST_ONCE,
 }
-REPORT_NAMES = {
+# The names of load report fields in the settings, and in the load reports that servers publish.
+REPORT_FIELD_BY_SETTINGS_NAME = {
     "rif": "inflight",
     "q": "queue",
     "busy": "util",
@@ -58,326 +77,394 @@
     "rate": "qps",
     "fail_rate": "eps",
 }
-EVERY_PEER = 0xFFFF
+BROADCAST_RECIPIENT = 0xFFFF  # recipient of a peer message that goes to all other gateways
 
 
 class _Reader:
-    """A cursor over one frame's body that names the offset of what is missing."""
+    """Reads fields from a batch body one after the other; errors name the byte offset."""
 
-    def __init__(self, data: bytes) -> None:
-        self.data = data
-        self.at = 0
+    def __init__(self, body: bytes) -> None:
+        self.body = body
+        self.offset = 0
 
-    def take(self, form: struct.Struct) -> tuple[Any, ...]:
+    def unpack(self, layout: struct.Struct) -> tuple[Any, ...]:
+        """Read the fields of a fixed layout."""
         try:
-            values = form.unpack_from(self.data, self.at)
+            values = layout.unpack_from(self.body, self.offset)
         except struct.error:
-            raise ProtocolError(f"record cut short at byte {self.at} of the frame's body") from None
-        self.at += form.size
+            raise ProtocolError(f"record truncated at byte {self.offset} of the batch body") from None
+        self.offset += layout.size
         return values
 
-    def blob(self, size: int) -> bytes:
-        if self.at + size > len(self.data):
-            raise ProtocolError(f"{size} bytes announced at byte {self.at}, fewer are left")
-        part = self.data[self.at : self.at + size]
-        self.at += size
-        return part
+    def read_bytes(self, size: int) -> bytes:
+        """Read a field of `size` bytes, a length that the record itself has announced."""
+        if self.offset + size > len(self.body):
+            raise ProtocolError(
+                f"field of {size} bytes at byte {self.offset} exceeds the end of the batch body"
+            )
+        field_bytes = self.body[self.offset : self.offset + size]
+        self.offset += size
+        return field_bytes
+
 
+def _big_endian(fields: str) -> struct.Struct:
+    """A layout without padding from `struct` format characters."""
+    return struct.Struct(">" + fields)
 
-def _form(text: str) -> struct.Struct:
-    return struct.Struct(">" + text)
 
+BATCH_HEADER = _big_endian("IdI")  # length of the body in bytes, current time in ms, number of records
+_U8, _U16, _U32, _U64 = _big_endian("B"), _big_endian("H"), _big_endian("I"), _big_endian("Q")
 
-BATCH_HEAD = _form("IdI")
-_U8, _U16, _U32, _U64 = _form("B"), _form("H"), _form("I"), _form("Q")
-_ENTRY = _form("IHBHBfd")
-_VIEW = _form("BQI")
-_SUBMIT = _form("QHBIffdfQ")
-_PROBED = _form("dHI")
-_DONE = _form("QBIHdBHH")
-_FIRST = _form("QBdI")
-_HEARD = _form("IH")
-_TOTAL = _form("QHfd")
+# Layouts of the records of a batch, after the record code. A `HEADER` is followed by fields of variable
+# length. The decoders assign fields that the decision module does not use to `_`.
+_SERVER_ENTRY_LAYOUT = _big_endian("IHBHBfd")
+_SERVER_LIST_HEADER = _big_endian("BQI")
+_REQUEST_ARRIVED_LAYOUT = _big_endian("QHBIffdfQ")
+_PROBE_RESULT_HEADER = _big_endian("dHI")
+_ATTEMPT_ENDED_HEADER = _big_endian("QBIHdBHH")
+_STREAM_STARTED_LAYOUT = _big_endian("QBdI")
+_PEER_MESSAGE_HEADER = _big_endian("IH")
+_COUNTER_TOTAL_LAYOUT = _big_endian("QHfd")
 
 
-def _status(code: int) -> api.CallStatus:
+def _decode_status(code: int) -> api.CallStatus:
     try:
-        return STATUSES[code]
+        return STATUS_BY_CODE[code]
     except KeyError:
-        raise ProtocolError(f"unknown outcome code {code}") from None
+        raise ProtocolError(f"unknown call status code {code}") from None
 
 
-def _report(reader: _Reader) -> tuple[float, ...]:
-    (count,) = reader.take(_U8)
-    return reader.take(_form(f"{count}f"))
+def _decode_load_report(reader: _Reader) -> tuple[float, ...]:
+    (field_count,) = reader.unpack(_U8)
+    return reader.unpack(_big_endian(f"{field_count}f"))
 
 
-def _spawn(reader: _Reader) -> Spawn:
-    (seed,) = reader.take(_U64)
-    (size,) = reader.take(_U32)
-    return Spawn(seed, parse_settings(reader.blob(size)))
+def _decode_start_instance(reader: _Reader) -> StartInstance:
+    (seed,) = reader.unpack(_U64)
+    (settings_size,) = reader.unpack(_U32)
+    return StartInstance(seed, parse_settings(reader.read_bytes(settings_size)))
 
 
-def _view(reader: _Reader) -> api.ServerList:
-    scope, _, count = reader.take(_VIEW)
-    if scope not in LIST_KINDS:
-        raise ProtocolError(f"unknown list scope {scope}")
+def _decode_server_list(reader: _Reader) -> api.ServerList:
+    kind_code, _, server_count = reader.unpack(_SERVER_LIST_HEADER)
+    if kind_code not in LIST_KIND_BY_CODE:
+        raise ProtocolError(f"unknown server list kind code {kind_code}")
     servers = []
-    for _ in range(count):
-        ident, zone, _, cell, state, rating, started = reader.take(_ENTRY)
-        if state >= len(STATES):
-            raise ProtocolError(f"unknown readiness {state} of server {ident}")
-        servers.append(api.Server(ident, zone, cell, STATES[state], rating, started))
-    return api.ServerList(LIST_KINDS[scope], tuple(servers))
-
-
-def _submit(reader: _Reader) -> api.RequestArrived:
-    request, cls, _, plan, _, units, deadline, doors, customer = reader.take(_SUBMIT)
-    return api.RequestArrived(request, cls, plan, customer, units, int(doors), deadline)
-
-
-def _probe_done(reader: _Reader) -> api.ProbeResult:
-    elapsed, code, server = reader.take(_PROBED)
-    return api.ProbeResult(server, _status(code), elapsed, _report(reader))
+    for _ in range(server_count):
+        server_id, zone, _, cell, state_code, relative_capacity, started_ms = reader.unpack(
+            _SERVER_ENTRY_LAYOUT
+        )
+        if state_code >= len(SERVER_STATE_BY_CODE):
+            raise ProtocolError(f"unknown state code {state_code} of server {server_id}")
+        servers.append(
+            api.Server(server_id, zone, cell, SERVER_STATE_BY_CODE[state_code], relative_capacity, started_ms)
+        )
+    return api.ServerList(LIST_KIND_BY_CODE[kind_code], tuple(servers))
+
+
+def _decode_request_arrived(reader: _Reader) -> api.RequestArrived:
+    (
+        request_id,
+        class_index,
+        _,
+        plan_index,
+        _,
+        units,
+        deadline_ms,
+        customer_gateway_count,
+        customer_id,
+    ) = reader.unpack(_REQUEST_ARRIVED_LAYOUT)
+    return api.RequestArrived(
+        request_id, class_index, plan_index, customer_id, units, int(customer_gateway_count), deadline_ms
+    )
 
 
-def _done(reader: _Reader) -> api.AttemptEnded:
-    request, number, server, code, elapsed, closed, usage, units = reader.take(_DONE)
-    used = usage - 1 if usage else None
+def _decode_probe_result(reader: _Reader) -> api.ProbeResult:
+    elapsed_ms, status_code, server_id = reader.unpack(_PROBE_RESULT_HEADER)
+    return api.ProbeResult(server_id, _decode_status(status_code), elapsed_ms, _decode_load_report(reader))
+
+
+def _decode_attempt_ended(reader: _Reader) -> api.AttemptEnded:
+    (
+        request_id,
+        attempt_number,
+        server_id,
+        status_code,
+        elapsed_ms,
+        request_closed,
+        encoded_usage,
+        charged_units,
+    ) = reader.unpack(_ATTEMPT_ENDED_HEADER)
+    # The usage is sent as its percentage plus 1; 0 stands for no reading.
+    usage_percent = encoded_usage - 1 if encoded_usage else None
     return api.AttemptEnded(
-        request, number, server, _status(code), elapsed, bool(closed), used, units, _report(reader)
+        request_id,
+        attempt_number,
+        server_id,
+        _decode_status(status_code),
+        elapsed_ms,
+        bool(request_closed),
+        usage_percent,
+        charged_units,
+        _decode_load_report(reader),
     )
 
 
-def _under_way(reader: _Reader) -> api.StreamStarted:
-    request, number, _, server = reader.take(_FIRST)
-    return api.StreamStarted(request, number, server)
+def _decode_stream_started(reader: _Reader) -> api.StreamStarted:
+    request_id, attempt_number, _, server_id = reader.unpack(_STREAM_STARTED_LAYOUT)
+    return api.StreamStarted(request_id, attempt_number, server_id)
 
 
-def _heard(reader: _Reader) -> api.PeerMessage:
-    sender, size = reader.take(_HEARD)
-    return api.PeerMessage(sender, reader.blob(size))
+def _decode_peer_message(reader: _Reader) -> api.PeerMessage:
+    sender, body_size = reader.unpack(_PEER_MESSAGE_HEADER)
+    return api.PeerMessage(sender, reader.read_bytes(body_size))
 
 
-def _total(reader: _Reader) -> api.CounterTotal:
-    name, code, total, elapsed = reader.take(_TOTAL)
-    return api.CounterTotal(name, _status(code), total, elapsed)
+def _decode_counter_total(reader: _Reader) -> api.CounterTotal:
+    counter_id, status_code, total, elapsed_ms = reader.unpack(_COUNTER_TOTAL_LAYOUT)
+    return api.CounterTotal(counter_id, _decode_status(status_code), total, elapsed_ms)
 
 
-_DECODERS: dict[int, Callable[[_Reader], Record]] = {
-    0: _spawn,
-    1: _view,
-    2: _submit,
-    3: _under_way,
-    4: _done,
-    5: lambda reader: api.RequestAbandoned(*reader.take(_U64)),
-    6: lambda reader: api.TimerFired(*reader.take(_U32)),
-    7: _probe_done,
-    8: _heard,
-    9: lambda reader: Teardown(),
-    10: _total,
+_DECODER_BY_CODE: dict[int, Callable[[_Reader], Record]] = {
+    0: _decode_start_instance,
+    1: _decode_server_list,
+    2: _decode_request_arrived,
+    3: _decode_stream_started,
+    4: _decode_attempt_ended,
+    5: lambda reader: api.RequestAbandoned(*reader.unpack(_U64)),
+    6: lambda reader: api.TimerFired(*reader.unpack(_U32)),
+    7: _decode_probe_result,
+    8: _decode_peer_message,
+    9: lambda reader: StopInstance(),
+    10: _decode_counter_total,
 }
-_TARGET = 11
+_TARGET_INSTANCE_CODE = 11  # the record that selects the instance of the records after it
 
 
-def decode_batch(count: int, body: bytes) -> list[tuple[int, Record]]:
-    """The (instance, record) pairs of one batch's `count` records."""
+def decode_batch(record_count: int, body: bytes) -> list[tuple[int, Record]]:
+    """Decode the body of a batch frame into (instance, record) pairs.
+
+    `record_count` includes the target_instance records, which are not among the pairs.
+    """
     reader = _Reader(body)
     records: list[tuple[int, Record]] = []
     instance: int | None = None
-    for index in range(count):
-        (code,) = reader.take(_U8)
-        if code == _TARGET:
-            (instance,) = reader.take(_U32)
+    for index in range(record_count):
+        (code,) = reader.unpack(_U8)
+        if code == _TARGET_INSTANCE_CODE:
+            (instance,) = reader.unpack(_U32)
             continue
-        if code not in _DECODERS:
-            raise ProtocolError(f"unknown record code {code} in record {index} at byte {reader.at - 1}")
+        if code not in _DECODER_BY_CODE:
+            raise ProtocolError(f"unknown record code {code} in record {index} at byte {reader.offset - 1}")
         if instance is None:
-            raise ProtocolError(f"record {index} comes before any target_instance")
-        records.append((instance, _DECODERS[code](reader)))
-    if reader.at != len(body):
-        raise ProtocolError(f"{len(body) - reader.at} bytes left after the last of {count} records")
+            raise ProtocolError(f"record {index} comes before any target_instance record")
+        records.append((instance, _DECODER_BY_CODE[code](reader)))
+    if reader.offset != len(body):
+        raise ProtocolError(
+            f"{len(body) - reader.offset} bytes left after the last of {record_count} records"
+        )
     return records
 
 
-_FOR = _form("BI")
-_SEND = _form("BQId")
-_CANCEL = _form("BQB")
-_REFUSE = _form("BQd")
-_IDENT = _form("BQ")
-_TIMER = _form("BdI")
-_SERVER = _form("BI")
-_FLAG = _form("BB")
-_TELL = _form("BHH")
-_COUNT = _form("BQfd")
-_TEXT = _form("BH")
+# Layouts of the records of a reply; the first byte is the record code. A `HEADER` is followed by a text
+# or message body, whose length in bytes is the header's last field.
+_INSTANCE_LAYOUT = _big_endian("BI")
+_SEND_LAYOUT = _big_endian("BQId")
+_CANCEL_LAYOUT = _big_endian("BQB")
+_REFUSE_LAYOUT = _big_endian("BQd")
+_REQUEST_ID_LAYOUT = _big_endian("BQ")
+_SET_TIMER_LAYOUT = _big_endian("BdI")
+_SERVER_ID_LAYOUT = _big_endian("BI")
+_BOOLEAN_LAYOUT = _big_endian("BB")
+_SEND_PEER_MESSAGE_HEADER = _big_endian("BHH")
+_COUNTER_ADD_LAYOUT = _big_endian("BQfd")
+_TEXT_HEADER = _big_endian("BH")
 
 
-def _text(code: int, text: str) -> bytes:
-    body = text.encode()[:0xFFFF]
-    return _TEXT.pack(code, len(body)) + body
+def _encode_text(code: int, text: str) -> bytes:
+    """A text record; the text is cut to the 65535 bytes that its length field can count."""
+    text_bytes = text.encode()[:0xFFFF]
+    return _TEXT_HEADER.pack(code, len(text_bytes)) + text_bytes
 
 
-def _tell(action: api.SendPeerMessage) -> bytes:
-    dest = EVERY_PEER if action.recipient is None else action.recipient
-    return _TELL.pack(2, dest, len(action.body)) + action.body
+def _encode_send_peer_message(action: api.SendPeerMessage) -> bytes:
+    recipient = BROADCAST_RECIPIENT if action.recipient is None else action.recipient
+    return _SEND_PEER_MESSAGE_HEADER.pack(2, recipient, len(action.body)) + action.body
 
 
-_ENCODERS: dict[type, Callable[[Any], bytes]] = {
-    api.SetTimer: lambda a: _TIMER.pack(0, a.delay_ms, a.token),
-    api.Send: lambda a: _SEND.pack(1, a.request_id, a.server_id, a.attempt_deadline_ms),
-    api.SendPeerMessage: _tell,
-    api.Fail: lambda a: _IDENT.pack(3, a.request_id),
-    api.Cancel: lambda a: _CANCEL.pack(4, a.request_id, a.attempt_number),
+# The first argument of each `pack` and `_encode_text` is the record code of the action.
+_ENCODER_BY_ACTION: dict[type, Callable[[Any], bytes]] = {
+    api.SetTimer: lambda a: _SET_TIMER_LAYOUT.pack(0, a.delay_ms, a.token),
+    api.Send: lambda a: _SEND_LAYOUT.pack(1, a.request_id, a.server_id, a.attempt_deadline_ms),
+    api.SendPeerMessage: _encode_send_peer_message,
+    api.Fail: lambda a: _REQUEST_ID_LAYOUT.pack(3, a.request_id),
+    api.Cancel: lambda a: _CANCEL_LAYOUT.pack(4, a.request_id, a.attempt_number),
     api.FetchServerList: lambda a: _U8.pack(5),
-    api.Refuse: lambda a: _REFUSE.pack(6, a.request_id, a.retry_after_ms),
-    api.Probe: lambda a: _SERVER.pack(7, a.server_id),
-    api.Subscribe: lambda a: _FLAG.pack(8, a.enabled),
-    api.Log: lambda a: _text(10, a.text),
-    api.CloseIdleConnections: lambda a: _SERVER.pack(11, a.server_id),
-    api.CounterAdd: lambda a: _COUNT.pack(12, a.counter_id, a.amount, a.ttl_ms),
+    api.Refuse: lambda a: _REFUSE_LAYOUT.pack(6, a.request_id, a.retry_after_ms),
+    api.Probe: lambda a: _SERVER_ID_LAYOUT.pack(7, a.server_id),
+    api.Subscribe: lambda a: _BOOLEAN_LAYOUT.pack(8, a.enabled),
+    api.Log: lambda a: _encode_text(10, a.text),
+    api.CloseIdleConnections: lambda a: _SERVER_ID_LAYOUT.pack(11, a.server_id),
+    api.CounterAdd: lambda a: _COUNTER_ADD_LAYOUT.pack(12, a.counter_id, a.amount, a.ttl_ms),
 }
 
 
 def encode_reply(groups: Iterable[tuple[int, Iterable[api.Action]]]) -> bytes:
-    """A whole reply frame for (instance, actions) groups in the order given."""
+    """Encode the reply frame for (instance, actions) groups, in the order given."""
     parts = []
     for instance, actions in groups:
-        encoded = [_ENCODERS[type(action)](action) for action in actions]
+        encoded = [_ENCODER_BY_ACTION[type(action)](action) for action in actions]
         if encoded:
-            parts.append(_FOR.pack(9, instance))
+            parts.append(_INSTANCE_LAYOUT.pack(9, instance))  # record code 9: the instance of what follows
             parts.extend(encoded)
     body = b"".join(parts)
     return _U32.pack(len(body)) + body
 
 
-def encode_fault(instance: int, text: str) -> bytes:
-    """A reply frame that declares an internal error."""
-    body = _FOR.pack(9, instance) + _text(13, text)
+def encode_internal_error(instance: int, text: str) -> bytes:
+    """Encode a reply frame that reports an internal error of an instance and holds no actions."""
+    body = _INSTANCE_LAYOUT.pack(9, instance) + _encode_text(13, text)  # record code 13: internal error
     return _U32.pack(len(body)) + body
 
 
-SETTING_VALUE_LIMIT = 1e15  # of any setting; far beyond what one means, and still exact as a float
+# Exclusive upper bound of every numeric setting, in the setting's own unit: far above any meaningful value,
+# and integers below it are still exact as floats.
+SETTING_VALUE_LIMIT = 1e15
 
 
-class _Table:
-    """A settings object that names the path of a key that is missing or of a wrong type."""
+class _SettingsObject:
+    """A JSON object of the settings; errors name the full path of a missing or invalid key."""
 
     def __init__(self, raw: Any, path: str) -> None:
         if not isinstance(raw, dict):
-            raise ProtocolError(f"settings: {path or 'the text'} is not an object")
+            raise ProtocolError(f"settings: {path or 'the top level'} is not an object")
         self.raw = raw
         self.path = path
 
-    def _name(self, key: str) -> str:
+    def _key_path(self, key: str) -> str:
         return f"{self.path}.{key}" if self.path else key
 
-    def table(self, key: str) -> _Table:
+    def get_object(self, key: str) -> _SettingsObject:
+        """The object under a required key."""
         if key not in self.raw:
-            raise ProtocolError(f"settings: {self._name(key)} is missing")
-        return _Table(self.raw[key], self._name(key))
+            raise ProtocolError(f"settings: {self._key_path(key)} is missing")
+        return _SettingsObject(self.raw[key], self._key_path(key))
+
+    def get_objects(self, key: str) -> list[_SettingsObject]:
+        """The list of objects under a required key."""
+        items = self.raw.get(key)
+        if not isinstance(items, list):
+            raise ProtocolError(f"settings: {self._key_path(key)} is missing or not a list")
+        return [_SettingsObject(item, f"{self._key_path(key)}[{i}]") for i, item in enumerate(items)]
 
-    def tables(self, key: str) -> list[_Table]:
-        rows = self.raw.get(key)
-        if not isinstance(rows, list):
-            raise ProtocolError(f"settings: {self._name(key)} is missing or not a list")
-        return [_Table(row, f"{self._name(key)}[{i}]") for i, row in enumerate(rows)]
+    def get_number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
+        """A number from `minimum` up to, but not including, `SETTING_VALUE_LIMIT`.
 
-    def number(self, key: str, default: float | None = None, least: float = 0.0) -> float:
+        The key is required if `default` is None.
+        """
         value = self.raw.get(key, default)
         if value is None:
-            raise ProtocolError(f"settings: {self._name(key)} is missing")
+            raise ProtocolError(f"settings: {self._key_path(key)} is missing or null")
         if isinstance(value, bool) or not isinstance(value, int | float):
-            raise ProtocolError(f"settings: {self._name(key)} is not a number")
-        if not least <= value < SETTING_VALUE_LIMIT:  # nor NaN nor infinite, which JSON's reader lets pass
-            raise ProtocolError(f"settings: {self._name(key)} is out of range: {value}")
+            raise ProtocolError(f"settings: {self._key_path(key)} is not a number")
+        # The comparison also rejects NaN and the infinities, which `json.loads` accepts.
+        if not minimum <= value < SETTING_VALUE_LIMIT:
+            raise ProtocolError(f"settings: {self._key_path(key)} is out of range: {value}")
         return float(value)
 
-    def flag(self, key: str) -> bool:
+    def get_bool(self, key: str) -> bool:
+        """A boolean; a missing key is False."""
         value = self.raw.get(key, False)
         if not isinstance(value, bool):
-            raise ProtocolError(f"settings: {self._name(key)} is not true or false")
+            raise ProtocolError(f"settings: {self._key_path(key)} is not a boolean")
         return value
 
-    def word(self, key: str, default: str | None = None) -> str:
+    def get_string(self, key: str, default: str | None = None) -> str:
+        """A string; the key is required if `default` is None."""
         value = self.raw.get(key, default)
         if not isinstance(value, str):
-            raise ProtocolError(f"settings: {self._name(key)} is missing or not a text")
+            raise ProtocolError(f"settings: {self._key_path(key)} is missing or not a string")
         return value
 
 
-def _request_class(row: _Table) -> api.RequestClass:
-    effect, scope = row.word("effect"), row.word("dedupScope", "all")
-    if effect not in EFFECTS:
-        raise ProtocolError(f"settings: {row.path}.effect is unknown: {effect}")
-    if scope not in {s.value for s in api.DedupScope}:
-        raise ProtocolError(f"settings: {row.path}.dedupScope is unknown: {scope}")
+def _parse_request_class(service: _SettingsObject) -> api.RequestClass:
+    effect, dedup_scope = service.get_string("effect"), service.get_string("dedupScope", "all")
+    if effect not in RETRY_SAFETY_BY_NAME:
+        raise ProtocolError(f"settings: {service.path}.effect has an unknown value: {effect}")
+    if dedup_scope not in {scope.value for scope in api.DedupScope}:
+        raise ProtocolError(f"settings: {service.path}.dedupScope has an unknown value: {dedup_scope}")
     return api.RequestClass(
-        aim_ms=row.number("aimMs"),
-        deadline_ms=row.number("hardLimitMs"),
-        effect=EFFECTS[effect],
-        dedup_scope=api.DedupScope(scope),
-        window_ms=row.number("windowMs", 0),
-        late_worth=row.number("lateWorth", 0),
-        stream=row.flag("stream"),
-        aim_stretch=row.number("aimStretch", 0),
-        name=row.word("name", ""),
-        worth=row.number("points", 1),
+        aim_ms=service.get_number("aimMs"),
+        deadline_ms=service.get_number("hardLimitMs"),
+        effect=RETRY_SAFETY_BY_NAME[effect],
+        dedup_scope=api.DedupScope(dedup_scope),
+        window_ms=service.get_number("windowMs", 0),
+        late_worth=service.get_number("lateWorth", 0),
+        stream=service.get_bool("stream"),
+        aim_stretch=service.get_number("aimStretch", 0),
+        name=service.get_string("name", ""),
+        worth=service.get_number("points", 1),
     )
 
 
-def _plan(row: _Table) -> api.Plan:
+def _parse_plan(contract: _SettingsObject) -> api.Plan:
     return api.Plan(
-        rate=row.number("rate", 0),
-        burst=row.number("mostAtOnce", 0),
-        parallel=int(row.number("parallel", 0)),
-        ceiling_rate=row.number("capRate", 0),
-        ceiling_depth=row.number("neverOverDepth", 0),
-        ceiling_slack=row.number("capSlack", 0),
-        over_worth=row.number("overWorth", 0),
-        over_cost=row.number("beyondCosts", 0),
-        name=row.word("name", ""),
+        rate=contract.get_number("rate", 0),
+        burst=contract.get_number("mostAtOnce", 0),
+        parallel=int(contract.get_number("parallel", 0)),
+        ceiling_rate=contract.get_number("capRate", 0),
+        ceiling_depth=contract.get_number("neverOverDepth", 0),
+        ceiling_slack=contract.get_number("capSlack", 0),
+        over_worth=contract.get_number("overWorth", 0),
+        over_cost=contract.get_number("beyondCosts", 0),
+        name=contract.get_string("name", ""),
     )
 
 
-def _fields(report: _Table) -> tuple[str, ...]:
-    raw = report.raw.get("fields", [])
-    if not isinstance(raw, list):
+def _parse_report_fields(report: _SettingsObject) -> tuple[str, ...]:
+    """The load reports' names of the fields; a name without a translation is taken as it is."""
+    names = report.raw.get("fields", [])
+    if not isinstance(names, list):
         raise ProtocolError("settings: report.fields is not a list")
-    return tuple(REPORT_NAMES.get(str(name), str(name)) for name in raw)
+    return tuple(REPORT_FIELD_BY_SETTINGS_NAME.get(str(name), str(name)) for name in names)
 
 
 def parse_settings(text: bytes) -> api.Settings:
-    """The settings that the module acts on; keys it does not know are ignored."""
+    """Parse the JSON text of a gateway's settings; unknown keys are ignored.
+
+    Raises `ProtocolError` with the path of the first key that is missing or invalid.
+    """
     try:
-        root = _Table(json.loads(text), "")
+        root = _SettingsObject(json.loads(text), "")
     except ValueError as error:
         if isinstance(error, ProtocolError):
             raise
         raise ProtocolError(f"settings: not JSON: {error}") from None
-    rules, limits = root.table("guarantees"), root.table("ceilings")
-    extra = root.table("specifics") if "specifics" in root.raw else _Table({}, "specifics")
-    report = root.table("report") if "report" in root.raw else _Table({}, "report")
+    guarantees, ceilings = root.get_object("guarantees"), root.get_object("ceilings")
+    specifics = root.get_object("specifics") if "specifics" in root.raw else _SettingsObject({}, "specifics")
+    report = root.get_object("report") if "report" in root.raw else _SettingsObject({}, "report")
     return api.Settings(
-        gateway_id=int(root.number("me")),
-        gateway_count=int(root.number("balancers", least=1)),
-        zone=int(root.number("myZone", 0)),
-        classes=tuple(_request_class(row) for row in root.tables("services")),
-        plans=tuple(_plan(row) for row in root.tables("contracts")),
-        cold_from=rules.number("coldFrom"),
-        cold_ms=rules.number("coldMs"),
-        tip_multiple=rules.number("tipMultiple"),
-        fall_ms=rules.number("fallMs"),
-        drain_grace_ms=rules.number("drainGraceMs"),
-        ask_within_ms=rules.number("askWithinMs", 0),
-        metering_ms=extra.number("meteringMs", 0),
-        post_paid=extra.flag("postPaid"),
-        max_attempts=int(limits.number("maxAttempts", least=1)),
-        second_copies=limits.flag("secondCopies"),
-        may_cancel=limits.flag("cancel"),
-        may_probe=limits.flag("probing"),
-        max_retry_after_ms=limits.number("maxRetryAfterMs", 0) if limits.flag("retryAfter") else 0.0,
-        must_subscribe=root.word("registryMode", "automatic") == "subscribe",
-        report_fields=_fields(report),
-        most_units=extra.number("mostUnits", 0),
+        gateway_id=int(root.get_number("me")),
+        gateway_count=int(root.get_number("balancers", minimum=1)),
+        zone=int(root.get_number("myZone", 0)),
+        classes=tuple(_parse_request_class(entry) for entry in root.get_objects("services")),
+        plans=tuple(_parse_plan(entry) for entry in root.get_objects("contracts")),
+        cold_from=guarantees.get_number("coldFrom"),
+        cold_ms=guarantees.get_number("coldMs"),
+        tip_multiple=guarantees.get_number("tipMultiple"),
+        fall_ms=guarantees.get_number("fallMs"),
+        drain_grace_ms=guarantees.get_number("drainGraceMs"),
+        ask_within_ms=guarantees.get_number("askWithinMs", 0),
+        metering_ms=specifics.get_number("meteringMs", 0),
+        post_paid=specifics.get_bool("postPaid"),
+        max_attempts=int(ceilings.get_number("maxAttempts", minimum=1)),
+        second_copies=ceilings.get_bool("secondCopies"),
+        may_cancel=ceilings.get_bool("cancel"),
+        may_probe=ceilings.get_bool("probing"),
+        max_retry_after_ms=(
+            ceilings.get_number("maxRetryAfterMs", 0) if ceilings.get_bool("retryAfter") else 0.0
+        ),
+        must_subscribe=root.get_string("registryMode", "automatic") == "subscribe",
+        report_fields=_parse_report_fields(report),
+        most_units=specifics.get_number("mostUnits", 0),
     )
