--- a/ironstage/__main__.py
+++ b/ironstage/__main__.py
@@ -14,8 +14,8 @@
 
 from ironstage.net import config as configuration
 from ironstage.net.clients import Clients
-from ironstage.net.discovery import Watch, callers
-from ironstage.net.limiter import MARGIN, SERVER_PART, Limiter
+from ironstage.net.discovery import Watch, count_discovery_clients
+from ironstage.net.limiter import RESERVED_DESCRIPTOR_COUNT, SERVER_CONNECTION_FRACTION, Limiter
 
 log = logging.getLogger("ironstage")
 
@@ -25,19 +25,19 @@
 async def _sweep(limiter: Limiter, clients: Clients) -> None:
     while True:
         await asyncio.sleep(SWEEP_S)
-        limiter.sweep()
-        clients.sweep()
+        limiter.close_expired_connections()
+        clients.close_stalled_connections()
 
 
 def _reload(watch: Watch) -> None:
     """Take up the replaced file; one that can't be read leaves all as it is."""
     try:
-        address = configuration.reload_discovery(os.environ)
+        address = configuration.reload_discovery_address(os.environ)
     except configuration.ConfigError as error:
         log.error("the configuration stays as it was: %s", error)
         return
     log.info("discovery is at %s:%d", *address)
-    watch.move(address)
+    watch.change_address(address)
 
 
 async def serve(config: configuration.Config) -> None:
@@ -46,10 +46,15 @@
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop.set)
     limiter = Limiter(config)
-    most = int((config.sockets - MARGIN) * (1 - SERVER_PART))
-    clients = Clients(limiter, config.settings, config.listen, most, config.body_bytes)
-    watch = Watch(config.discovery, limiter.listed, random.Random(config.seed), callers(config.settings))
-    watch.seq = limiter.known_seq
+    most = int((config.sockets - RESERVED_DESCRIPTOR_COUNT) * (1 - SERVER_CONNECTION_FRACTION))
+    clients = Clients(limiter, config.settings, config.listen, most, config.max_buffered_body_bytes)
+    watch = Watch(
+        config.discovery,
+        limiter.apply_host_list,
+        random.Random(config.seed),
+        count_discovery_clients(config.settings),
+    )
+    watch.seq = limiter.cached_list_seq
     loop.add_signal_handler(signal.SIGHUP, _reload, watch)
     tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
     clients.listen()
--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -17,7 +17,7 @@
 
 from ironstage.interface import RetrySafety, Settings
 from ironstage.net.config import Address
-from ironstage.net.limiter import Limiter, Terms
+from ironstage.net.limiter import Limiter, RequestMetadata
 
 log = logging.getLogger(__name__)
 
@@ -26,12 +26,13 @@
 PIPELINED = 4  # requests read ahead on a connection; further ones stay in the socket
 ACCEPTS = 64  # connections taken at a time, so that those that are open get their turn
 ACCEPT_AGAIN_S = 0.05  # after the descriptors ran out
-STALL_S = 2.0  # for a request to come whole, the first one from the connecting on; more is given up
+# For a request to come whole, the first one from the connecting on; more is given up.
+REQUEST_READ_TIMEOUT_S = 2.0
 LINGER_S = 1.0  # how long a refused sender may go on before its connection is cut
-DRAIN_S = 0.45  # after SIGTERM new connections come for 0.4 s at the most
+MIN_DRAIN_LISTEN_S = 0.45  # after SIGTERM new connections come for 0.4 s at the most
 QUIET_S = 0.1  # and the last of them shall be so old before nobody listens any more
 DRAIN_MOST_S = 0.6
-FIRST_S = 0.3  # what a new connection gets for its first request, also during a drain
+FIRST_REQUEST_TIMEOUT_S = 0.3  # what a new connection gets for its first request, also during a drain
 FLUSH_S = 0.2
 
 CUSTOMER = re.compile(rb"[0-9A-Fa-f]{16}")
@@ -65,29 +66,33 @@
         self.code = code
 
 
-class Call:
+class HttpRequest:
     """One request of a client and, once it is there, its answer."""
 
-    __slots__ = ("_connection", "body", "forward", "ident", "keep", "reply")
+    __slots__ = ("_connection", "body", "forwarded_head", "ident", "keep", "reply")
 
-    def __init__(self, connection: _Client, keep: bool, forward: bytes = b"", body: bytes = b"") -> None:
+    def __init__(
+        self, connection: _Client, keep: bool, forwarded_head: bytes = b"", body: bytes = b""
+    ) -> None:
         self._connection = connection
         self.keep = keep
-        self.forward = forward
+        self.forwarded_head = forwarded_head
         self.body = body
         self.ident = 0
         self.reply: tuple[int, bytes, bytes] | None = None
 
-    def answer(self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0) -> None:
+    def answer(
+        self, status_code: int, body: bytes = b"", content_type: bytes = b"", retry_after_s: float = 0.0
+    ) -> None:
         if self.reply is None:
             headers = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
-            if retry_s > 0:
-                headers += f"Retry-After: {retry_s:.3f}\r\n".encode()
-            self.reply = code, headers, body
+            if retry_after_s > 0:
+                headers += f"Retry-After: {retry_after_s:.3f}\r\n".encode()
+            self.reply = status_code, headers, body
             self._connection.flush()
 
 
-class Checker:
+class RequestValidator:
     """The form of a request, by the settings; a request that has another one counts nowhere."""
 
     def __init__(self, settings: Settings) -> None:
@@ -96,7 +101,7 @@
         self._gateways = settings.gateway_count
         self._most_units = settings.most_units or math.inf
 
-    def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> Terms:
+    def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> RequestMetadata:
         path = FIRST_PART.match(url)
         if path is None or path[1] not in self._classes:
             raise BadRequestError(404, "no such class in the path")
@@ -113,8 +118,8 @@
         if not CUSTOMER.fullmatch(key) or (customer := int(key, 16)) >= 1 << 33:
             raise BadRequestError(400, "X-Api-Key is missing or names no customer")
         wait = _number(headers.get(b"req-deadline", b""), "Req-Deadline")
-        units, doors = self._call_terms(headers.get(b"x-call-terms", b""))
-        return Terms(name, cls, plan, customer, units, doors, wait)
+        units, doors = self._parse_call_terms(headers.get(b"x-call-terms", b""))
+        return RequestMetadata(name, cls, plan, customer, units, doors, wait)
 
     def _method(self, method: bytes, effect: RetrySafety, headers: dict[bytes, bytes], body: bool) -> None:
         if method != (b"GET" if effect is RetrySafety.IDEMPOTENT else b"POST"):
@@ -124,7 +129,7 @@
         if (effect is RetrySafety.DEDUPLICATED) != bool(headers.get(b"idempotency-key")):
             raise BadRequestError(400, "Idempotency-Key is missing, or not of this class")
 
-    def _call_terms(self, raw: bytes) -> tuple[float, int]:
+    def _parse_call_terms(self, raw: bytes) -> tuple[float, int]:
         """The units, and how many limiters the customer comes through.
 
         What is out of range is turned down here: in the module it would bind the customer it names.
@@ -158,7 +163,7 @@
         self._clients = clients
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._calls: deque[Call] = deque()
+        self._calls: deque[HttpRequest] = deque()
         self._reading = False  # bytes are being parsed
         self._rejected = False  # its sender may still be at it
         self._deaf = False  # no further request is read from it
@@ -169,15 +174,15 @@
         self._body: list[bytes] = []
         self._size = 0
         self._headed = False
-        self.begun: float | None = None  # since when a request is coming in
-        self.made = monotonic()
+        self.request_started_s: float | None = None  # since when a request is coming in
+        self.connected_s = monotonic()
         self.served = False
         self.taken = False  # a whole request has come
 
     # --- Connection ----------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
-        self._clients.idle[self] = None
+        self._clients.idle_connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._deaf = True
@@ -220,16 +225,18 @@
 
     def due(self, since: float) -> bool:
         """Whether a request may be on its way: the connection is new, or its bytes have begun to come."""
-        return (not self.served and self.made > since) or (self.begun is not None and self.begun > since)
+        return (not self.served and self.connected_s > since) or (
+            self.request_started_s is not None and self.request_started_s > since
+        )
 
     def stalled(self, limit: float) -> bool:
         """Whether a request, or any word on a new connection, has been awaited since before the limit."""
-        since = self.begun if self.taken else self.made
+        since = self.request_started_s if self.taken else self.connected_s
         return since is not None and since < limit and not self._deaf and not self._paused
 
     @property
     def idle(self) -> bool:
-        return not self._calls and self.begun is None
+        return not self._calls and self.request_started_s is None
 
     # --- Reading -------------------------------------------------------------------------------
     def data_received(self, data: bytes) -> None:
@@ -256,9 +263,9 @@
 
     def on_message_begin(self) -> None:
         # Not with the first bytes: an empty line behind a request is the start of none.
-        self.begun = monotonic()
-        self._clients.idle.pop(self, None)
-        self._clients.coming[self] = None
+        self.request_started_s = monotonic()
+        self._clients.idle_connections.pop(self, None)
+        self._clients.receiving_connections[self] = None
         self._url, self._headers, self._body, self._headed = b"", {}, [], False
 
     def on_url(self, url: bytes) -> None:
@@ -304,9 +311,9 @@
             self.reject(503)  # many at once could pass the limit on memory
 
     def on_message_complete(self) -> None:
-        self.begun, self._headed, self._size = None, False, 0
+        self.request_started_s, self._headed, self._size = None, False, 0
         self.taken = True
-        self._clients.coming.pop(self, None)
+        self._clients.receiving_connections.pop(self, None)
         if self._deaf:
             return
         # Behind a request for another protocol no further one of ours can be told.
@@ -324,7 +331,7 @@
             self._reply(keep, 200 if self._clients.ready else 503)
             return
         try:
-            terms = self._clients.checker.terms(method, url, self._headers, bool(body))
+            terms = self._clients.validator.terms(method, url, self._headers, bool(body))
         except BadRequestError as error:
             self._reply(keep, error.code, str(error))
             return
@@ -336,12 +343,12 @@
         if method == b"POST":
             head += [b"\r\nContent-Length: ", str(len(body)).encode()]
         self._clients.hold(len(body))  # what was just released, until it is answered
-        call = Call(self, keep, b"".join([*head, b"\r\n"]), body)
+        call = HttpRequest(self, keep, b"".join([*head, b"\r\n"]), body)
         self._calls.append(call)
-        call.ident = self._clients.limiter.take(call, terms)
+        call.ident = self._clients.limiter.submit(call, terms)
 
     def _reply(self, keep: bool, code: int, text: str = "") -> None:
-        call = Call(self, keep)
+        call = HttpRequest(self, keep)
         self._calls.append(call)
         call.answer(code, text.encode(), b"text/plain" if text else b"")
 
@@ -353,7 +360,7 @@
         """Answer what can't be read to its end, behind the answers that are due before it."""
         if not self._deaf:
             self._deaf = self._rejected = True
-            self._clients.coming.pop(self, None)
+            self._clients.receiving_connections.pop(self, None)
             self._drop_body()
             self._reply(False, code)
 
@@ -381,7 +388,7 @@
         if last:
             self._end()
         elif self.idle and not self._deaf:
-            self._clients.idle[self] = None
+            self._clients.idle_connections[self] = None
 
     def _end(self) -> None:
         """Close behind the last answer. Cut off at once, a sender still at it could lose that answer."""
@@ -391,7 +398,7 @@
         if not self._rejected:
             self._transport.close()
         else:
-            self.begun = None
+            self.request_started_s = None
             self._transport.write_eof()
             asyncio.get_running_loop().call_later(LINGER_S, self._transport.abort)
 
@@ -403,15 +410,15 @@
         self, limiter: Limiter, settings: Settings, address: Address, most: int, most_bytes: int
     ) -> None:
         self.limiter = limiter
-        self.checker = Checker(settings)
+        self.validator = RequestValidator(settings)
         self.draining = False
-        self.idle: dict[_Client, None] = {}  # between requests, the longest idle first
-        self.coming: dict[_Client, None] = {}  # with a request coming in, the longest so first
-        self._open: set[_Client] = set()
+        self.idle_connections: dict[_Client, None] = {}  # between requests, the longest idle first
+        self.receiving_connections: dict[_Client, None] = {}  # with a request coming in, the longest so first
+        self._open_connections: set[_Client] = set()
         self._joining: set[asyncio.Task[None]] = set()
-        self._most = most
+        self._max_connection_count = most
         self._most_bytes = most_bytes
-        self._bytes = 0  # of bodies that come in or wait for their answer
+        self._buffered_body_bytes = 0  # of bodies that come in or wait for their answer
         self._last_accept = 0.0
         self._accepting = False
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
@@ -448,7 +455,7 @@
 
     def _accept(self) -> None:
         for _ in range(ACCEPTS):
-            if len(self._open) >= self._most and not self._make_room():
+            if len(self._open_connections) >= self._max_connection_count and not self._make_room():
                 self._rest(ACCEPT_AGAIN_S)
                 return
             try:
@@ -465,7 +472,7 @@
             self._last_accept = monotonic()
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             client = _Client(self)
-            self._open.add(client)
+            self._open_connections.add(client)
             task = asyncio.get_running_loop().create_task(self._join(client, sock))
             self._joining.add(task)
             task.add_done_callback(self._joining.discard)
@@ -480,17 +487,17 @@
 
     def _make_room(self) -> bool:
         """Close the connection that has been between requests for longest; new ones get their turn."""
-        limit = monotonic() - FIRST_S
-        client = next((c for c in self.idle if c.served or c.made < limit), None)
+        limit = monotonic() - FIRST_REQUEST_TIMEOUT_S
+        client = next((c for c in self.idle_connections if c.served or c.connected_s < limit), None)
         if client is None:
             return self._end_slowest(limit)
-        del self.idle[client]
+        del self.idle_connections[client]
         client.close()
         return True
 
     def _end_slowest(self, limit: float) -> bool:
         """End the request that has been coming in for longest: a crowd of them must not keep others out."""
-        client = next((c for c in self.coming if c.stalled(limit)), None)
+        client = next((c for c in self.receiving_connections if c.stalled(limit)), None)
         if client is None:
             return False
         client.reject(408)
@@ -499,27 +506,27 @@
 
     def hold(self, size: int) -> bool:
         """Account for so many bytes of a body; False where the memory has no room for them."""
-        if self._bytes + size > self._most_bytes:
+        if self._buffered_body_bytes + size > self._most_bytes:
             return False
-        self._bytes += size
+        self._buffered_body_bytes += size
         return True
 
     def release(self, size: int) -> None:
-        self._bytes -= size
+        self._buffered_body_bytes -= size
 
     def gone(self, client: _Client) -> None:
-        self._open.discard(client)
-        self.idle.pop(client, None)
-        self.coming.pop(client, None)
+        self._open_connections.discard(client)
+        self.idle_connections.pop(client, None)
+        self.receiving_connections.pop(client, None)
 
-    def sweep(self) -> None:
+    def close_stalled_connections(self) -> None:
         """End requests that never come whole, and connections that never say anything.
 
         Each would hold its socket for good.
         """
-        limit = monotonic() - STALL_S
-        for client in [c for c in self._open if c.stalled(limit)]:
-            if client.begun is None:
+        limit = monotonic() - REQUEST_READ_TIMEOUT_S
+        for client in [c for c in self._open_connections if c.stalled(limit)]:
+            if client.request_started_s is None:
                 client.close()
             else:
                 client.reject(408)
@@ -530,21 +537,25 @@
         self.draining = True
         self._close_idle(start)
         while (now := monotonic()) < start + DRAIN_MOST_S:
-            if now >= max(start + DRAIN_S, self._last_accept + QUIET_S):
+            if now >= max(start + MIN_DRAIN_LISTEN_S, self._last_accept + QUIET_S):
                 break
             await asyncio.sleep(0.01)
         self._accept()  # what came since the last turn is taken, too
         self.stop_listening()
-        while self.limiter.open or any(client.due(monotonic() - FIRST_S) for client in self._open):
+        while self.limiter.open_request_count or any(
+            client.due(monotonic() - FIRST_REQUEST_TIMEOUT_S) for client in self._open_connections
+        ):
             self._close_idle(monotonic())
             await asyncio.sleep(0.01)
-        for client in list(self._open):
+        for client in list(self._open_connections):
             client.close()
         end = monotonic() + FLUSH_S
-        while self._open and monotonic() < end:
+        while self._open_connections and monotonic() < end:
             await asyncio.sleep(0.01)
 
     def _close_idle(self, now: float) -> None:
-        for client in [c for c in self.idle if c.served or c.made < now - FIRST_S]:
-            self.idle.pop(client, None)
+        for client in [
+            c for c in self.idle_connections if c.served or c.connected_s < now - FIRST_REQUEST_TIMEOUT_S
+        ]:
+            self.idle_connections.pop(client, None)
             client.close()
--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -35,12 +35,12 @@
     discovery: Address
     seed: int
     sockets: int
-    body_bytes: int  # of clients' bodies held at a time
+    max_buffered_body_bytes: int  # of clients' bodies held at a time
     max_open: int
     settings: api.Settings
     zones: tuple[str, ...]
-    connect_s: float
-    idle_s: float  # a server closes a connection that has stood idle for so long
+    connect_timeout_s: float
+    server_idle_timeout_s: float  # a server closes a connection that has stood idle for so long
     known: Any  # the last list of servers, in discovery's form
 
 
@@ -95,7 +95,7 @@
     return raw
 
 
-def reload_discovery(environ: Mapping[str, str]) -> Address:
+def reload_discovery_address(environ: Mapping[str, str]) -> Address:
     """Where a replaced file puts discovery. The variable is as old as the start and no longer counts."""
     return parse_address(_read(environ).get("discovery"))
 
@@ -116,12 +116,12 @@
         discovery=parse_address(environ.get("GW_DISCOVERY") or raw.get("discovery")),
         seed=_seed(raw.get("seed", "0")),
         sockets=int(_number(limits, "sockets", SOCKETS, LEAST_SOCKETS)),
-        body_bytes=_body_bytes(_number(limits, "memory_mb", MEMORY_MB)),
+        max_buffered_body_bytes=_body_bytes(_number(limits, "memory_mb", MEMORY_MB)),
         max_open=int(min(MAX_OPEN, _number(ceilings, "maxOpen", MAX_OPEN))),
         # On sockets a refusal may always tell when to come back, whatever the simulator's clients hear.
         settings=replace(decoded, max_retry_after_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
-        connect_s=_number(ceilings, "connectTimeoutMs", CONNECT_MS) / 1000,
-        idle_s=_number(ceilings, "connIdleMs", IDLE_MS) / 1000,
+        connect_timeout_s=_number(ceilings, "connectTimeoutMs", CONNECT_MS) / 1000,
+        server_idle_timeout_s=_number(ceilings, "connIdleMs", IDLE_MS) / 1000,
         known=raw.get("known"),
     )
--- a/ironstage/net/discovery.py
+++ b/ironstage/net/discovery.py
@@ -18,12 +18,13 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_S = 4.5  # the agent writes every 2 s; what it has to tell counts as told after 6 s anyway
+SILENCE_TIMEOUT_S = 4.5  # the agent writes every 2 s; what it has to tell counts as told after 6 s anyway
 CONNECT_S = 1.0
-BACKOFF_S = (0.05, 1.0)  # first and longest wait before the watch is taken up again, by one of few limiters
+# First and longest wait before the watch is taken up again, by one of few limiters.
+BACKOFF_RANGE_S = (0.05, 1.0)
 FEW_CALLERS = 2  # of more the waits are longer in proportion: discovery bears so many calls and no more
-LONGEST_S = 5.0  # of all waits; what discovery has to tell counts as told after 6 s anyway
-LONGEST_LINE = 4 << 20  # bytes; a line that never ends must not fill the memory
+MAX_BACKOFF_S = 5.0  # of all waits; what discovery has to tell counts as told after 6 s anyway
+MAX_LINE_BYTES = 4 << 20  # a line that never ends must not fill the memory
 
 STATES = {
     "active": api.ServerState.READY,
@@ -39,7 +40,7 @@
     zone: str
     cell: int
     state: api.ServerState
-    rating: float
+    relative_capacity: float
     born_ms: float  # Unix time, 0 for long ago
 
 
@@ -68,12 +69,12 @@
         zone=str(raw.get("site", "")),
         cell=int(raw.get("block", 0)),
         state=state,
-        rating=_finite(raw.get("share", 1.0)),
+        relative_capacity=_finite(raw.get("share", 1.0)),
         born_ms=_finite(raw.get("born_ms", 0)),
     )
 
 
-def parse_list(raw: Any) -> tuple[HostList, bool]:
+def parse_host_list(raw: Any) -> tuple[HostList, bool]:
     """A list and whether all of it could be read; ValueError where it is none at all.
 
     A list with an entry that can't be read is no longer whole: what it does not name may be that
@@ -94,13 +95,13 @@
     return HostList(seq, sound and raw.get("whole") is True, tuple(hosts)), sound
 
 
-class _Stream(asyncio.Protocol):
+class _WatchStream(asyncio.Protocol):
     """One watch: cuts the chunked answer into lines."""
 
     def __init__(self, on_line: Callable[[bytes], bool]) -> None:
         self._on_line = on_line
         self._parser = httptools.HttpResponseParser(self)
-        self._held = bytearray()  # of a line that has begun; grown in place, as it may come byte by byte
+        self._buffer = bytearray()  # of a line that has begun; grown in place, as it may come byte by byte
         self._cut = False  # whether it is whole
         self._transport: asyncio.Transport | None = None
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -119,10 +120,10 @@
             return
         lines: list[bytes] = []
         if self._cut:  # only then: cut anew for each piece, a long list in many would cost its length squared
-            *lines, rest = bytes(self._held).split(b"\n")
-            self._held, self._cut = bytearray(rest), False
-        if len(self._held) > LONGEST_LINE:
-            log.warning("discovery: a line of over %d bytes", LONGEST_LINE)
+            *lines, rest = bytes(self._buffer).split(b"\n")
+            self._buffer, self._cut = bytearray(rest), False
+        if len(self._buffer) > MAX_LINE_BYTES:
+            log.warning("discovery: a line of over %d bytes", MAX_LINE_BYTES)
             self.close()
         for line in lines:
             if line.strip() and not self._on_line(line):
@@ -131,7 +132,7 @@
 
     def on_body(self, body: bytes) -> None:
         if self._parser.get_status_code() == 200:
-            self._held += body
+            self._buffer += body
             self._cut = self._cut or b"\n" in body
 
     def on_message_complete(self) -> None:
@@ -146,7 +147,7 @@
             self._transport.close()
 
 
-def callers(settings: api.Settings) -> int:
+def count_discovery_clients(settings: api.Settings) -> int:
     """How many limiters' calls meet at discovery.
 
     Where changes come by themselves the agent on this machine has them already, answers at once, and what it
@@ -159,18 +160,22 @@
     """Keeps one watch open and hands on each list that says something new."""
 
     def __init__(
-        self, address: Address, on_list: Callable[[HostList], None], rng: random.Random, callers: int = 1
+        self,
+        address: Address,
+        on_list: Callable[[HostList], None],
+        rng: random.Random,
+        discovery_client_count: int = 1,
     ) -> None:
         self._address = address
         self._on_list = on_list
         self._rng = rng
-        crowd = max(1.0, callers / FEW_CALLERS)
-        self._first_s, self._longest_s = (min(LONGEST_S, wait * crowd) for wait in BACKOFF_S)
-        self._fresh = True
+        crowd = max(1.0, discovery_client_count / FEW_CALLERS)
+        self._first_s, self._longest_s = (min(MAX_BACKOFF_S, wait * crowd) for wait in BACKOFF_RANGE_S)
+        self._awaiting_first_list = True
         self._turn: asyncio.Timeout | None = None
         self.seq = 0
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Follow another agent at once; what the last one told stays known."""
         if address != self._address:
             self._address = address
@@ -205,29 +210,31 @@
     async def _follow(self) -> None:
         loop = asyncio.get_running_loop()
         host, port = self._address
-        self._fresh = True
+        self._awaiting_first_list = True
         async with asyncio.timeout(CONNECT_S):
-            transport, stream = await loop.create_connection(lambda: _Stream(self._line), host, port)
+            transport, stream = await loop.create_connection(
+                lambda: _WatchStream(self._handle_line), host, port
+            )
         query = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         transport.write(query.encode())
         try:
             # TCP does not tell that the other machine vanished: only its silence does.
-            while not stream.ended.done() and (left := stream.heard + SILENCE_S - loop.time()) > 0:
+            while not stream.ended.done() and (left := stream.heard + SILENCE_TIMEOUT_S - loop.time()) > 0:
                 await asyncio.wait([stream.ended], timeout=left)
         finally:
             transport.abort()
 
-    def _line(self, line: bytes) -> bool:
+    def _handle_line(self, line: bytes) -> bool:
         """Take one line; False where it must be asked for again."""
         try:
-            told, sound = parse_list(json.loads(line))
+            told, sound = parse_host_list(json.loads(line))
         except (ValueError, RecursionError) as error:
             log.warning("discovery: line skipped: %r", error)
             return False
         # Repeats and stragglers are old news; only the first line of a watch may start versions anew.
-        if told.seq <= self.seq and not (self._fresh and told.whole):
+        if told.seq <= self.seq and not (self._awaiting_first_list and told.whole):
             return True
-        self._fresh = False
+        self._awaiting_first_list = False
         self._on_list(told)
         if sound:
             self.seq = told.seq
--- a/ironstage/net/limiter.py
+++ b/ironstage/net/limiter.py
@@ -16,8 +16,8 @@
 from ironstage import interface as api
 from ironstage.interface import CallStatus, ServerState
 from ironstage.net.config import Config
-from ironstage.net.discovery import Host, HostList, parse_list
-from ironstage.net.servers import TIMER_S, Attempt, Reply, Servers
+from ironstage.net.discovery import Host, HostList, parse_host_list
+from ironstage.net.servers import TIMER_RESOLUTION_S, Attempt, AttemptResult, Servers
 from ironstage.policy import Gateway
 
 log = logging.getLogger(__name__)
@@ -26,40 +26,40 @@
 EARLY_S = 0.010  # the module's deadline lies so much before the client's: the answer is on its way, too
 PROBE_S = 0.25
 LOAD_MOST = 10_000.0  # of any figure in a load report; no server holds or serves more
-SERVER_PART = 0.4  # of the sockets may be connections to servers
-MARGIN = 32  # descriptors for the listener, discovery, the loop and the log
+SERVER_CONNECTION_FRACTION = 0.4  # of the sockets may be connections to servers
+RESERVED_DESCRIPTOR_COUNT = 32  # descriptors for the listener, discovery, the loop and the log
 
 PROBE = b"GET /metrics/load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
-class Call(Protocol):
+class ClientRequest(Protocol):
     """A client's request as the client side hands it over."""
 
     @property
-    def forward(self) -> bytes: ...  # request line and headers that go on, without the deadline
+    def forwarded_head(self) -> bytes: ...  # request line and headers that go on, without the deadline
     @property
     def body(self) -> bytes: ...
     def answer(
-        self, code: int, body: bytes = b"", content_type: bytes = b"", retry_s: float = 0.0
+        self, status_code: int, body: bytes = b"", content_type: bytes = b"", retry_after_s: float = 0.0
     ) -> None: ...
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
-    """A request's `name` (Req-Id), how long its client waits, and what the module is told of it."""
+class RequestMetadata:
+    """A request's `client_request_id` (Req-Id), how long its client waits, and what the module is told."""
 
-    name: bytes
-    cls: int
-    plan: int
-    customer: int
+    client_request_id: bytes
+    class_index: int
+    plan_index: int
+    customer_id: int
     units: float
-    doors: int
-    wait_s: float
+    customer_gateway_count: int
+    client_timeout_s: float
 
 
 @dataclass(slots=True)
 class _Taken:
-    call: Call
+    call: ClientRequest
     name: bytes
     once: bool  # no repeat can make good an attempt that broke
     deadline_ms: float
@@ -69,7 +69,7 @@
     out: int = 0
 
 
-def read_load(fields: tuple[str, ...], raw: bytes) -> tuple[float, ...]:
+def parse_load_report(fields: tuple[str, ...], raw: bytes) -> tuple[float, ...]:
     """A load report in the settings' order; what is none, or has a figure beyond sense, says nothing."""
     try:
         values = tuple(float(json.loads(raw)[name]) for name in fields) if raw else ()
@@ -87,31 +87,35 @@
         self._origin = time.monotonic()
         # One offset for good: converted afresh each time, a start would seem to move and be a restart.
         self._wall_ms = EPOCH_MS - time.time() * 1000
-        self._servers = Servers(int((config.sockets - MARGIN) * SERVER_PART), config.connect_s, config.idle_s)
-        self._numbers: dict[str, int] = {}  # of the servers that are not gone
+        self._servers = Servers(
+            int((config.sockets - RESERVED_DESCRIPTOR_COUNT) * SERVER_CONNECTION_FRACTION),
+            config.connect_timeout_s,
+            config.server_idle_timeout_s,
+        )
+        self._server_ids: dict[str, int] = {}  # of the servers that are not gone
         self._next_number = itertools.count()  # never used again: outcomes may come after the end
         self._zones = {zone: number for number, zone in enumerate(config.zones)}
         self._requests: dict[int, _Taken] = {}
-        self._names: set[bytes] = set()  # of the open requests
+        self._open_client_request_ids: set[bytes] = set()  # of the open requests
         self._count = 0
         self._events: deque[api.Event] = deque()
         self._busy = False
         self._max_open = config.max_open
-        self.open = 0
-        self.known_seq = 0
+        self.open_request_count = 0
+        self.cached_list_seq = 0
         self._known(config)
 
     def _known(self, config: Config) -> None:
         try:
-            told = parse_list(config.known)[0]
+            told = parse_host_list(config.known)[0]
         except ValueError as error:
             log.warning("no usable list of servers known: %s", error)
             return
-        self.known_seq = told.seq
+        self.cached_list_seq = told.seq
         self._list(told, api.ListKind.CACHED)
 
     # --- Clock -------------------------------------------------------------------------------
-    def _now(self) -> float:
+    def _now_ms(self) -> float:
         return (time.monotonic() - self._origin) * 1000 + EPOCH_MS
 
     def _loop_time(self, ms: float) -> float:
@@ -122,31 +126,41 @@
     def ready(self) -> bool:
         return self._servers.any_ready()
 
-    def take(self, call: Call, terms: Terms) -> int:
+    def submit(self, client_request: ClientRequest, metadata: RequestMetadata) -> int:
         """Take a request on; from here it gets one answer, before its client gives up."""
         self._count += 1
-        if self.open >= self._max_open:
-            call.answer(503)
+        if self.open_request_count >= self._max_open:
+            client_request.answer(503)
             return self._count
-        if terms.name in self._names:
+        if metadata.client_request_id in self._open_client_request_ids:
             # Sent on, a server would see it as a second copy of the one that is open.
-            call.answer(409)
+            client_request.answer(409)
             return self._count
-        ident, now = self._count, self._now()
-        cls = self._settings.classes[terms.cls]
-        wait_s = min(terms.wait_s, cls.deadline_ms / 1000)
+        ident, now = self._count, self._now_ms()
+        cls = self._settings.classes[metadata.class_index]
+        wait_s = min(metadata.client_timeout_s, cls.deadline_ms / 1000)
         deadline = now + max(wait_s - EARLY_S, wait_s / 2) * 1000
         timer = asyncio.get_running_loop().call_at(
             self._loop_time(now) + wait_s, partial(self._overdue, ident)
         )
         self._requests[ident] = _Taken(
-            call, terms.name, cls.effect is api.RetrySafety.AT_MOST_ONCE, deadline, timer
+            client_request,
+            metadata.client_request_id,
+            cls.effect is api.RetrySafety.AT_MOST_ONCE,
+            deadline,
+            timer,
         )
-        self._names.add(terms.name)
-        self.open += 1
+        self._open_client_request_ids.add(metadata.client_request_id)
+        self.open_request_count += 1
         self._post(
             api.RequestArrived(
-                ident, terms.cls, terms.plan, terms.customer, terms.units, terms.doors, deadline
+                ident,
+                metadata.class_index,
+                metadata.plan_index,
+                metadata.customer_id,
+                metadata.units,
+                metadata.customer_gateway_count,
+                deadline,
             )
         )
         return ident
@@ -157,7 +171,7 @@
             self._close(ident, taken)
             self._post(api.RequestAbandoned(ident))
 
-    def listed(self, told: HostList) -> None:
+    def apply_host_list(self, told: HostList) -> None:
         self._list(told, api.ListKind.FULL if told.whole else api.ListKind.DELTA)
 
     def _list(self, told: HostList, kind: api.ListKind) -> None:
@@ -165,20 +179,20 @@
         self._post(api.ServerList(kind, servers))
         left = {host.name for host in told.hosts if host.state is ServerState.GONE}
         if kind is not api.ListKind.DELTA:
-            left |= self._numbers.keys() - {host.name for host in told.hosts}
+            left |= self._server_ids.keys() - {host.name for host in told.hosts}
         for name in left:
-            self._servers.remove(self._numbers.pop(name))
+            self._servers.remove(self._server_ids.pop(name))
 
     def _server(self, host: Host) -> api.Server:
-        if (number := self._numbers.get(host.name)) is None:
-            number = self._numbers[host.name] = next(self._next_number)
+        if (number := self._server_ids.get(host.name)) is None:
+            number = self._server_ids[host.name] = next(self._next_number)
         zone = self._zones.setdefault(host.zone, len(self._zones))
-        self._servers.place(number, host.dial, host.state is ServerState.READY)
+        self._servers.add_or_update(number, host.dial, host.state is ServerState.READY)
         started = host.born_ms + self._wall_ms if host.born_ms > 0 else 0.0
-        return api.Server(number, zone, host.cell, host.state, host.rating, started)
+        return api.Server(number, zone, host.cell, host.state, host.relative_capacity, started)
 
-    def sweep(self) -> None:
-        self._servers.sweep()
+    def close_expired_connections(self) -> None:
+        self._servers.close_expired_connections()
 
     def close(self) -> None:
         self._servers.close()
@@ -198,7 +212,7 @@
 
     def _handle(self, event: api.Event) -> None:
         try:
-            for action in self._gateway.handle(self._now(), event):
+            for action in self._gateway.handle(self._now_ms(), event):
                 self._act(action)
         except Exception:
             # A fault in one request must not end the others; its own client is told of a failure.
@@ -220,12 +234,12 @@
                 self._cancel(action)
             case api.SetTimer():
                 fired = partial(self._post, api.TimerFired(action.token))
-                when = self._loop_time(self._now() + action.delay_ms)
-                asyncio.get_running_loop().call_at(when + TIMER_S, fired)
+                when = self._loop_time(self._now_ms() + action.delay_ms)
+                asyncio.get_running_loop().call_at(when + TIMER_RESOLUTION_S, fired)
             case api.Probe():
                 self._probe(action.server_id)
             case api.CloseIdleConnections():
-                self._servers.close_idle(action.server_id)
+                self._servers.close_idle_connections(action.server_id)
             case api.Log():
                 log.info("module: %s", action.text)
             case api.Subscribe() | api.FetchServerList():
@@ -244,7 +258,7 @@
             attempt.cancel()
 
     def _send(self, action: api.Send) -> None:
-        ident, now = action.request_id, self._now()
+        ident, now = action.request_id, self._now_ms()
         taken = self._requests.get(ident)
         number = len(taken.attempts) if taken else 0
         until = min(action.attempt_deadline_ms or math.inf, taken.deadline_ms) if taken else 0.0
@@ -257,7 +271,7 @@
         left = f"Req-Deadline: {(until - now) / 1000:.3f}\r\n\r\n"
         attempt = self._servers.send(
             action.server_id,
-            taken.call.forward + left.encode() + taken.call.body,
+            taken.call.forwarded_head + left.encode() + taken.call.body,
             self._loop_time(until),
             partial(self._ended, ident, taken, number, action.server_id, now),
             taken.once,
@@ -265,7 +279,9 @@
         taken.out += 1
         taken.attempts.append(attempt)
 
-    def _ended(self, ident: int, taken: _Taken, number: int, server: int, sent: float, reply: Reply) -> None:
+    def _ended(
+        self, ident: int, taken: _Taken, number: int, server: int, sent: float, reply: AttemptResult
+    ) -> None:
         """An attempt's end: the first 200 is the client's, and every end is told the module."""
         taken.attempts[number] = None
         taken.out -= 1
@@ -279,20 +295,20 @@
                 number,
                 server,
                 reply.status,
-                self._now() - sent,
+                self._now_ms() - sent,
                 not taken.open,
-                reply.usage,
+                reply.usage_percent,
                 0,
-                read_load(self._settings.report_fields, reply.load),
+                parse_load_report(self._settings.report_fields, reply.load_report),
             )
         )
 
     def _probe(self, server: int) -> None:
-        now = self._now()
+        now = self._now_ms()
 
-        def ended(reply: Reply) -> None:
-            load = read_load(self._settings.report_fields, reply.load or reply.body)
-            self._post(api.ProbeResult(server, reply.status, self._now() - now, load))
+        def ended(reply: AttemptResult) -> None:
+            load = parse_load_report(self._settings.report_fields, reply.load_report or reply.body)
+            self._post(api.ProbeResult(server, reply.status, self._now_ms() - now, load))
 
         self._servers.send(server, PROBE, self._loop_time(now) + PROBE_S, ended)
 
@@ -300,13 +316,13 @@
     def _answer(self, ident: int, code: int, retry_s: float = 0.0) -> None:
         if (taken := self._requests.get(ident)) and taken.open:
             self._close(ident, taken)
-            taken.call.answer(code, retry_s=retry_s)
+            taken.call.answer(code, retry_after_s=retry_s)
 
     def _close(self, ident: int, taken: _Taken) -> None:
         taken.open = False
         taken.overdue.cancel()
-        self.open -= 1
-        self._names.discard(taken.name)
+        self.open_request_count -= 1
+        self._open_client_request_ids.discard(taken.name)
         self._forget(ident, taken)
 
     def _forget(self, ident: int, taken: _Taken) -> None:
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -22,23 +22,24 @@
 BODY_LIMIT = 64 * 1024
 HEAD_LIMIT = 16 * 1024
 IDLE_PART = 0.5  # of the time after which servers close: this clock and theirs need not agree
-REUSE_S = 0.05  # one free for less is used in any case: no server ends it so soon
+SAFE_REUSE_IDLE_S = 0.05  # one free for less is used in any case: no server ends it so soon
 REUSE_BACK = 0.5  # of the time after which a free connection turned out to be dead: how long others stay
 REUSE_RISE = 1.003  # a sweep; what was learnt from one that was dead fades, doubling in about a minute
 USAGE = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
-SHORT_S = 0.25  # for the rest of an answer that has begun to come; one that stops short is spoilt
-TIMER_S = 0.001  # the loop counts whole milliseconds; an attempt must not end before its time
+# For the rest of an answer that has begun to come; one that stops short is spoilt.
+PARTIAL_RESPONSE_TIMEOUT_S = 0.25
+TIMER_RESOLUTION_S = 0.001  # the loop counts whole milliseconds; an attempt must not end before its time
 
 
 @dataclass(frozen=True, slots=True)
-class Reply:
+class AttemptResult:
     """How an attempt ended, and what came with it."""
 
     status: CallStatus
     body: bytes = b""
     content_type: bytes = b""
-    usage: int | None = None
-    load: bytes = b""
+    usage_percent: int | None = None
+    load_report: bytes = b""
 
 
 @dataclass(slots=True)
@@ -47,7 +48,7 @@
 
     dial: Address
     ready: bool = True
-    idle: list[_Connection] = field(default_factory=list)
+    idle_connections: list[_Connection] = field(default_factory=list)
 
 
 class Attempt:
@@ -55,15 +56,15 @@
 
     __slots__ = ("_on_end", "_timer", "connection", "ended", "message", "until")
 
-    def __init__(self, message: bytes, until: float, on_end: Callable[[Reply], None]) -> None:
+    def __init__(self, message: bytes, until: float, on_end: Callable[[AttemptResult], None]) -> None:
         self.message = message
         self.until = until
         self.connection: _Connection | None = None
         self.ended = False
         self._on_end = on_end
-        self._timer = asyncio.get_running_loop().call_at(until + TIMER_S, self._time_out)
+        self._timer = asyncio.get_running_loop().call_at(until + TIMER_RESOLUTION_S, self._time_out)
 
-    def end(self, reply: Reply) -> None:
+    def end(self, reply: AttemptResult) -> None:
         if not self.ended:
             self.ended = True
             self._timer.cancel()
@@ -81,7 +82,7 @@
     def _give_up(self, status: CallStatus) -> None:
         if self.connection:
             self.connection.drop()
-        self.end(Reply(status))
+        self.end(AttemptResult(status))
 
 
 def _usage(raw: bytes) -> int | None:
@@ -162,7 +163,9 @@
         elif not self._within:
             self._settle()  # an interim answer says nothing of when the final one begins
         elif self._attempt and self._rest is None:
-            self._rest = asyncio.get_running_loop().call_later(SHORT_S, self._spoil, "stopped short")
+            self._rest = asyncio.get_running_loop().call_later(
+                PARTIAL_RESPONSE_TIMEOUT_S, self._spoil, "stopped short"
+            )
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if not self._complete:
@@ -221,7 +224,7 @@
 
     def _break(self) -> None:
         if self._attempt and self._silent:
-            self._servers.died(self.rested)
+            self._servers.record_broken_connection(self.rested)
         self._fail(CallStatus.RESET)
 
     def _spoil(self, what: str) -> None:
@@ -234,7 +237,7 @@
         self._body = []
         self.drop()
         if attempt:
-            attempt.end(Reply(status if written else CallStatus.CONNECT_FAILED))
+            attempt.end(AttemptResult(status if written else CallStatus.CONNECT_FAILED))
 
     def _settle(self) -> None:
         if self._rest:
@@ -252,7 +255,7 @@
             status = CallStatus.REJECTED
         else:
             status = CallStatus.ERROR
-        reply = Reply(
+        reply = AttemptResult(
             status,
             b"".join(self._body),
             self._headers.get(b"content-type", b""),
@@ -273,12 +276,12 @@
     def __init__(self, most: int, connect_s: float, idle_s: float) -> None:
         self._most = most
         self._connect_s = connect_s
-        self._longest_s = self._idle_s = max(REUSE_S, idle_s * IDLE_PART)
+        self._longest_s = self._max_idle_s = max(SAFE_REUSE_IDLE_S, idle_s * IDLE_PART)
         self._servers: dict[int, Server] = {}
-        self._connecting: set[asyncio.Task[None]] = set()
-        self._open = 0
+        self._connect_tasks: set[asyncio.Task[None]] = set()
+        self._open_connection_count = 0
 
-    def place(self, number: int, dial: Address, ready: bool) -> None:
+    def add_or_update(self, number: int, dial: Address, ready: bool) -> None:
         """What discovery says of a server; one that moved or leaves keeps no free connection."""
         server = self._servers.setdefault(number, Server(dial))
         if not ready or server.dial != dial:
@@ -297,7 +300,12 @@
         return any(server.ready for server in self._servers.values())
 
     def send(
-        self, number: int, message: bytes, until: float, on_end: Callable[[Reply], None], once: bool = False
+        self,
+        number: int,
+        message: bytes,
+        until: float,
+        on_end: Callable[[AttemptResult], None],
+        once: bool = False,
     ) -> Attempt:
         """Begin an attempt over the latest used free connection, or over a new one.
 
@@ -305,29 +313,29 @@
         """
         attempt = Attempt(message, until, on_end)
         server = self._servers[number]
-        most = min(self._idle_s, REUSE_S) if once else self._idle_s
-        while server.idle:
-            connection = server.idle[-1]
+        most = min(self._max_idle_s, SAFE_REUSE_IDLE_S) if once else self._max_idle_s
+        while server.idle_connections:
+            connection = server.idle_connections[-1]
             connection.rested = monotonic() - connection.idle_since
-            if most < connection.rested <= self._idle_s:
+            if most < connection.rested <= self._max_idle_s:
                 break  # of use to others; those below it were free for longer still
-            server.idle.pop()
+            server.idle_connections.pop()
             if connection.rested <= most and connection.fresh():
                 connection.start(attempt)
                 return attempt
             connection.drop()
         task = asyncio.get_running_loop().create_task(self._connect(server, attempt))
-        self._connecting.add(task)
-        task.add_done_callback(self._connecting.discard)
+        self._connect_tasks.add(task)
+        task.add_done_callback(self._connect_tasks.discard)
         return attempt
 
     async def _connect(self, server: Server, attempt: Attempt) -> None:
         """Open a connection for an attempt; if that is over by then, it is kept for the next."""
-        if self._open >= self._most and not self._drop_oldest():
-            log.warning("no connection to %s: %d are open", server.dial, self._open)
-            attempt.end(Reply(CallStatus.CONNECT_FAILED))
+        if self._open_connection_count >= self._most and not self._drop_oldest():
+            log.warning("no connection to %s: %d are open", server.dial, self._open_connection_count)
+            attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
             return
-        self._open += 1
+        self._open_connection_count += 1
         dial, sock = server.dial, None
         try:
             async with asyncio.timeout(self._connect_s):
@@ -339,15 +347,15 @@
                 connection = _Connection(self, server, sock)
                 await loop.create_connection(lambda: connection, sock=sock)
         except (OSError, TimeoutError):
-            self._open -= 1
+            self._open_connection_count -= 1
             if sock:
                 sock.close()
-            attempt.end(Reply(CallStatus.CONNECT_FAILED))
+            attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
             return
         if not server.ready or server.dial != dial:
             # It drained or moved while this connection came up: nothing new may go there.
             connection.drop()
-            attempt.end(Reply(CallStatus.CONNECT_FAILED))
+            attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
         elif attempt.ended:
             self.keep(server, connection)
         else:
@@ -358,45 +366,45 @@
             connection.drop()
             return
         connection.idle_since = monotonic()
-        server.idle.append(connection)
+        server.idle_connections.append(connection)
 
     def closed(self, server: Server, connection: _Connection) -> None:
-        self._open -= 1
-        if connection in server.idle:
-            server.idle.remove(connection)
+        self._open_connection_count -= 1
+        if connection in server.idle_connections:
+            server.idle_connections.remove(connection)
 
-    def died(self, rested: float) -> None:
+    def record_broken_connection(self, rested: float) -> None:
         """A connection broke under an attempt with no word: free ones may end so early, unseen."""
         if rested > 0:
-            self._idle_s = min(self._idle_s, max(REUSE_S, rested * REUSE_BACK))
+            self._max_idle_s = min(self._max_idle_s, max(SAFE_REUSE_IDLE_S, rested * REUSE_BACK))
 
-    def close_idle(self, number: int) -> None:
+    def close_idle_connections(self, number: int) -> None:
         if server := self._servers.get(number):
             self._drop_idle(server)
 
     def _drop_idle(self, server: Server) -> None:
-        for connection in server.idle:
+        for connection in server.idle_connections:
             connection.drop()
-        server.idle.clear()
+        server.idle_connections.clear()
 
     def _drop_oldest(self) -> bool:
         """Make room at the bound: the free connection that was unused for longest goes."""
-        holders = [server for server in self._servers.values() if server.idle]
+        holders = [server for server in self._servers.values() if server.idle_connections]
         if not holders:
             return False
-        min(holders, key=lambda server: server.idle[0].idle_since).idle.pop(0).drop()
+        min(holders, key=lambda server: server.idle_connections[0].idle_since).idle_connections.pop(0).drop()
         return True
 
-    def sweep(self) -> None:
+    def close_expired_connections(self) -> None:
         """Drop what has stood idle, before the server does while a request is on its way."""
-        self._idle_s = min(self._longest_s, self._idle_s * REUSE_RISE)
-        limit = monotonic() - self._idle_s
+        self._max_idle_s = min(self._longest_s, self._max_idle_s * REUSE_RISE)
+        limit = monotonic() - self._max_idle_s
         for server in self._servers.values():
-            while server.idle and server.idle[0].idle_since < limit:
-                server.idle.pop(0).drop()
+            while server.idle_connections and server.idle_connections[0].idle_since < limit:
+                server.idle_connections.pop(0).drop()
 
     def close(self) -> None:
-        for task in list(self._connecting):
+        for task in list(self._connect_tasks):
             task.cancel()
         for server in self._servers.values():
             self._drop_idle(server)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders for events, so that a test states only what it is about."""
+"""Test support: settings, servers and events with defaults, so that a test states only what it checks."""
 
 from __future__ import annotations
 
@@ -8,13 +8,15 @@
 from ironstage import interface as api
 from ironstage.policy import Gateway
 
-SAFE = api.RequestClass(1000, 4000, api.RetrySafety.IDEMPOTENT, api.DedupScope.ALL, 0, 0.0)
-KEYED_ALL = api.RequestClass(1000, 4000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ALL, 3000, 0.0)
-KEYED_ZONE = api.RequestClass(3000, 9000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ZONE, 2000, 0.0)
-UNSAFE = api.RequestClass(1500, 4000, api.RetrySafety.AT_MOST_ONCE, api.DedupScope.ALL, 0, 0.0)
-CLASSES = (SAFE, KEYED_ALL, KEYED_ZONE, UNSAFE)
+IDEMPOTENT_CLASS = api.RequestClass(1000, 4000, api.RetrySafety.IDEMPOTENT, api.DedupScope.ALL, 0, 0.0)
+DEDUPLICATED_CLASS = api.RequestClass(1000, 4000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ALL, 3000, 0.0)
+ZONE_DEDUPLICATED_CLASS = api.RequestClass(
+    3000, 9000, api.RetrySafety.DEDUPLICATED, api.DedupScope.ZONE, 2000, 0.0
+)
+AT_MOST_ONCE_CLASS = api.RequestClass(1500, 4000, api.RetrySafety.AT_MOST_ONCE, api.DedupScope.ALL, 0, 0.0)
+CLASSES = (IDEMPOTENT_CLASS, DEDUPLICATED_CLASS, ZONE_DEDUPLICATED_CLASS, AT_MOST_ONCE_CLASS)
 
-BASE = api.Settings(
+BASE_SETTINGS = api.Settings(
     gateway_id=0,
     gateway_count=2,
     zone=0,
@@ -38,52 +40,78 @@
 )
 
 
-def server(ident: int, zone: int = 0, state: str = "ready", started: float = 0.0) -> api.Server:
-    return api.Server(ident, zone, zone, api.ServerState(state), 1.0, started)
-
+def make_server(server_id: int, zone: int = 0, state: str = "ready", started_ms: float = 0.0) -> api.Server:
+    """Return a server of relative capacity 1; its cell has the number of its zone."""
+    return api.Server(server_id, zone, zone, api.ServerState(state), 1.0, started_ms)
 
-class Rig:
-    """A gateway with servers and a running request number."""
 
-    def __init__(self, servers: list[api.Server] | None = None, **changes: Any) -> None:
-        self.gateway = Gateway(replace(BASE, **changes), seed=1)
-        self.number = 0
-        if servers is None:
-            servers = [server(1), server(2)]
-        self.listed(0.0, *servers, kind="full")
+class GatewayFixture:
+    """A gateway with two servers or those given; `overrides` replace fields of `BASE_SETTINGS`.
 
-    def listed(self, now: float, *servers: api.Server, kind: str = "delta") -> list[api.Action]:
-        return self.gateway.handle(now, api.ServerList(api.ListKind(kind), servers))
+    Requests are numbered from 1. Points in time are milliseconds on the gateway's clock.
+    """
 
-    def arrive(
-        self, now: float, cls: int = 0, customer: int = 1, doors: int = 1, deadline: float = 4000.0
+    def __init__(self, servers: list[api.Server] | None = None, **overrides: Any) -> None:
+        self.gateway = Gateway(replace(BASE_SETTINGS, **overrides), seed=1)
+        self.last_request_id = 0
+        if servers is None:
+            servers = [make_server(1), make_server(2)]
+        self.apply_server_list(0.0, *servers, kind="full")
+
+    def apply_server_list(self, now_ms: float, *servers: api.Server, kind: str = "delta") -> list[api.Action]:
+        """Deliver a server list of the given `ListKind`."""
+        return self.gateway.handle(now_ms, api.ServerList(api.ListKind(kind), servers))
+
+    def submit_request(
+        self,
+        now_ms: float,
+        class_index: int = 0,
+        customer_id: int = 1,
+        customer_gateway_count: int = 1,
+        timeout_ms: float = 4000.0,
     ) -> list[api.Action]:
-        self.number += 1
-        event = api.RequestArrived(self.number, cls, 0, customer, 1.0, doors, now + deadline)
-        return self.gateway.handle(now, event)
+        """Deliver a request of one unit under the first plan, due in `timeout_ms`."""
+        self.last_request_id += 1
+        event = api.RequestArrived(
+            self.last_request_id,
+            class_index,
+            0,
+            customer_id,
+            1.0,
+            customer_gateway_count,
+            now_ms + timeout_ms,
+        )
+        return self.gateway.handle(now_ms, event)
 
-    def done(
-        self, now: float, sent: api.Send, status: str, attempt: int = 0, **extra: Any
+    def end_attempt(
+        self, now_ms: float, sent: api.Send, status: str, attempt_number: int = 0, **event_fields: Any
     ) -> list[api.Action]:
-        closed = extra.pop("closed", status == "ok")
+        """Deliver the end of an attempt, after 50 ms unless `elapsed_ms` is given.
+
+        `request_closed` defaults to whether the status is ok; the other fields are those of `AttemptEnded`.
+        """
+        request_closed = event_fields.pop("request_closed", status == "ok")
         event = api.AttemptEnded(
             sent.request_id,
-            attempt,
+            attempt_number,
             sent.server_id,
             api.CallStatus(status),
-            extra.pop("elapsed", 50.0),
-            closed,
-            **extra,
+            event_fields.pop("elapsed_ms", 50.0),
+            request_closed,
+            **event_fields,
         )
-        return self.gateway.handle(now, event)
+        return self.gateway.handle(now_ms, event)
 
-    def tick(self, now: float) -> list[api.Action]:
-        return self.gateway.handle(now, api.TimerFired(0))
+    def fire_timer(self, now_ms: float) -> list[api.Action]:
+        """Deliver the expiry of the timer with token 0."""
+        return self.gateway.handle(now_ms, api.TimerFired(0))
 
 
-def sends(actions: list[api.Action]) -> list[api.Send]:
+def send_actions(actions: list[api.Action]) -> list[api.Send]:
+    """Return the attempts that are to be sent."""
     return [action for action in actions if isinstance(action, api.Send)]
 
 
-def kinds(actions: list[api.Action]) -> list[str]:
+def action_names(actions: list[api.Action]) -> list[str]:
+    """Return the type name of each action."""
     return [type(action).__name__ for action in actions]
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""A limiter on loopback, with scripted servers, a scripted discovery agent and raw clients."""
+"""Test support: a limiter on loopback, servers and a discovery agent that tests control, raw HTTP clients."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from ironstage.net.limiter import Limiter
 from ironstage.simulator_protocol import parse_settings
 
-PATIENCE_S = 30.0  # only a hanging test meets it
+TEST_TIMEOUT_S = 30.0  # reached only by a test that hangs
 
 SETTINGS: dict[str, Any] = {
     "balancers": 3,
@@ -56,99 +56,116 @@
 
 
 def run(test: Coroutine[Any, Any, None]) -> None:
-    """Run a test on the loop that the program uses; one that hangs fails."""
+    """Run a test on uvloop, as the program runs; fail it after `TEST_TIMEOUT_S`."""
 
     async def bounded() -> None:
-        async with asyncio.timeout(PATIENCE_S):
+        async with asyncio.timeout(TEST_TIMEOUT_S):
             await test
 
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(bounded())
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Poll until the condition holds."""
     while not condition():
         await asyncio.sleep(0.005)
 
 
 # --- Servers --------------------------------------------------------------------------------------
 @dataclass(slots=True)
-class Request:
-    """What a server read, and the connection to answer on."""
+class ReceivedRequest:
+    """A request as a `Backend` received it, and the connection to answer on.
 
-    line: str
+    `connection_number` counts the connections of the backend from 1.
+    """
+
+    request_line: str
     headers: dict[str, str]
     body: bytes
     writer: asyncio.StreamWriter
-    connection: int
-    ended: asyncio.Event  # the limiter has closed the connection
+    connection_number: int
+    connection_closed: asyncio.Event  # set once the limiter has closed the connection
 
     def reply(self, status: str = "200 OK", body: bytes = b"", *headers: str) -> None:
+        """Send a response with this status and body; each of `headers` is a whole header line."""
         head = "\r\n".join([f"HTTP/1.1 {status}", f"Content-Length: {len(body)}", *headers, "", ""])
         self.writer.write(head.encode() + body)
 
-    def reset(self) -> None:
+    def reset_connection(self) -> None:
+        """Close the connection at once, without sending what is still buffered."""
         self.writer.transport.abort()
 
-    async def closed(self) -> None:
-        await self.ended.wait()
+    async def wait_closed(self) -> None:
+        """Wait until the limiter has closed the connection."""
+        await self.connection_closed.wait()
 
 
-async def read_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+async def read_http_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
+    """Read one HTTP message: its first line, its headers by lower-case name, and its body."""
     head = (await reader.readuntil(b"\r\n\r\n")).decode()
-    line, *rows = head.rstrip("\r\n").split("\r\n")
-    headers = {name.lower(): value for name, value in (row.split(": ", 1) for row in rows)}
-    return line, headers, await reader.readexactly(int(headers.get("content-length", 0)))
+    start_line, *header_lines = head.rstrip("\r\n").split("\r\n")
+    headers = {
+        name.lower(): value for name, value in (header_line.split(": ", 1) for header_line in header_lines)
+    }
+    return start_line, headers, await reader.readexactly(int(headers.get("content-length", 0)))
 
 
-Script = Callable[[Request], Awaitable[None]]
+RequestHandler = Callable[[ReceivedRequest], Awaitable[None]]
 
 
 @dataclass
 class Backend:
-    """A server that plays its script for each request; without one, the test answers by hand."""
+    """A server on loopback that runs `handler` for each request.
 
-    script: Script | None = None
-    requests: list[Request] = field(default_factory=list)
-    arrived: asyncio.Queue[Request] = field(default_factory=asyncio.Queue)
-    connections: int = 0
+    Without a handler, the test takes requests from `request_queue` and answers them itself.
+    """
+
+    handler: RequestHandler | None = None
+    requests: list[ReceivedRequest] = field(default_factory=list)
+    request_queue: asyncio.Queue[ReceivedRequest] = field(default_factory=asyncio.Queue)
+    connection_count: int = 0
     address: str = ""
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.connections += 1
-        number, ended = self.connections, asyncio.Event()
+        self.connection_count += 1
+        connection_number, connection_closed = self.connection_count, asyncio.Event()
         try:
             while True:
-                request = Request(*await read_message(reader), writer, number, ended)
+                request = ReceivedRequest(
+                    *await read_http_message(reader), writer, connection_number, connection_closed
+                )
                 self.requests.append(request)
-                self.arrived.put_nowait(request)
-                if self.script is not None:
-                    await self.script(request)
+                self.request_queue.put_nowait(request)
+                if self.handler is not None:
+                    await self.handler(request)
         except (asyncio.IncompleteReadError, ConnectionError):
-            ended.set()
+            connection_closed.set()
 
 
 @contextlib.asynccontextmanager
-async def backend(script: Script | None = None) -> AsyncIterator[Backend]:
-    made = Backend(script)
-    server = await asyncio.start_server(made._serve, "127.0.0.1", 0)
+async def backend(handler: RequestHandler | None = None) -> AsyncIterator[Backend]:
+    """Run a `Backend` on a free port of loopback."""
+    started = Backend(handler)
+    server = await asyncio.start_server(started._serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    made.address = f"{host}:{port}"
+    started.address = f"{host}:{port}"
     try:
-        yield made
+        yield started
     finally:
         server.close()
 
 
 def unused_address() -> str:
-    """An address at which connections are refused."""
+    """Return an address at which connections are refused, as nothing listens there."""
     with socket.create_server(("127.0.0.1", 0)) as listener:
         host, port = listener.getsockname()
     return f"{host}:{port}"
 
 
 # --- Discovery ------------------------------------------------------------------------------------
-def host(name: str, dial: str, health: str = "active", born_ms: float = 0) -> dict[str, Any]:
+def host_entry(name: str, dial: str, health: str = "active", born_ms: float = 0) -> dict[str, Any]:
+    """Return a server's entry in discovery's list; `born_ms` is Unix time, 0 for a start long ago."""
     return {
         "host": name,
         "dial": dial,
@@ -161,140 +178,171 @@
     }
 
 
-def listing(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
+def host_list(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
+    """Return version `seq` of discovery's list: a full list if `whole`, else changes only."""
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
-class Agent:
-    """Discovery's agent: `watches` holds the query of each watch, `tell` writes to the latest."""
+class DiscoveryAgent:
+    """A discovery agent on loopback.
+
+    `watch_queries` receives the path and query of each watch; `send_line` writes to the latest watch.
+    """
 
     def __init__(self) -> None:
-        self.watches: asyncio.Queue[str] = asyncio.Queue()
+        self.watch_queries: asyncio.Queue[str] = asyncio.Queue()
         self.address = ("", 0)
         self._writer: asyncio.StreamWriter | None = None
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        line, _, _ = await read_message(reader)
+        request_line, _, _ = await read_http_message(reader)
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         self._writer = writer
-        self.watches.put_nowait(line.split(" ")[1])
+        self.watch_queries.put_nowait(request_line.split(" ")[1])
 
-    def tell(self, line: bytes | dict[str, Any]) -> None:
+    def send_line(self, line: bytes | dict[str, Any]) -> None:
+        """Send a chunk: bytes as they are, a host list as a line of JSON."""
         assert self._writer
-        raw = line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n"
-        self._writer.write(b"%x\r\n%s\r\n" % (len(raw), raw))
+        data = line if isinstance(line, bytes) else json.dumps(line).encode() + b"\n"
+        self._writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def cut(self) -> None:
+    def drop_connection(self) -> None:
+        """Close the latest watch's connection without ending its response."""
         assert self._writer
         self._writer.transport.abort()
 
 
 @contextlib.asynccontextmanager
-async def agent() -> AsyncIterator[Agent]:
-    made = Agent()
-    server = await asyncio.start_server(made._serve, "127.0.0.1", 0)
-    made.address = server.sockets[0].getsockname()
+async def discovery_agent() -> AsyncIterator[DiscoveryAgent]:
+    """Run a `DiscoveryAgent` on a free port of loopback."""
+    started = DiscoveryAgent()
+    server = await asyncio.start_server(started._serve, "127.0.0.1", 0)
+    started.address = server.sockets[0].getsockname()
     try:
-        yield made
+        yield started
     finally:
         server.close()
 
 
 # --- The limiter and its clients ------------------------------------------------------------------
-def config(*hosts: dict[str, Any], discovery: tuple[str, int] = ("127.0.0.1", 1), **changes: Any) -> Config:
-    raw = {**SETTINGS, **changes.pop("settings", {})}
-    values: dict[str, Any] = {
+def make_config(
+    *hosts: dict[str, Any], discovery: tuple[str, int] = ("127.0.0.1", 1), **overrides: Any
+) -> Config:
+    """Return a limiter's configuration that knows these hosts; `overrides` replace its fields.
+
+    `settings` among the overrides replaces top-level keys of `SETTINGS`.
+    """
+    raw_settings = {**SETTINGS, **overrides.pop("settings", {})}
+    fields: dict[str, Any] = {
         "name": "n0",
         "listen": ("127.0.0.1", 0),
         "discovery": discovery,
         "seed": 1,
         "sockets": 1024,
-        "body_bytes": 1 << 24,
+        "max_buffered_body_bytes": 1 << 24,
         "max_open": 1000,
-        "settings": parse_settings(json.dumps(raw).encode()),
+        "settings": parse_settings(json.dumps(raw_settings).encode()),
         "zones": ("hall-a", "hall-b"),
-        "connect_s": 0.25,
-        "idle_s": 30.0,
-        "known": listing(1, *hosts),
+        "connect_timeout_s": 0.25,
+        "server_idle_timeout_s": 30.0,
+        "known": host_list(1, *hosts),
     }
-    return Config(**{**values, **changes})
+    return Config(**{**fields, **overrides})
 
 
-class Rig:
-    def __init__(self, made: Config) -> None:
-        self.limiter = Limiter(made)
-        self.clients = Clients(self.limiter, made.settings, made.listen, 100, made.body_bytes)
-        self.watch = Watch(made.discovery, self.limiter.listed, random.Random(1))
-        self.watch.seq = self.limiter.known_seq
+class LimiterFixture:
+    """A limiter with its client side and its discovery watch, as the program wires them."""
+
+    def __init__(self, config: Config) -> None:
+        self.limiter = Limiter(config)
+        self.clients = Clients(
+            self.limiter, config.settings, config.listen, 100, config.max_buffered_body_bytes
+        )
+        self.watch = Watch(config.discovery, self.limiter.apply_host_list, random.Random(1))
+        self.watch.seq = self.limiter.cached_list_seq
 
     async def connect(self) -> Client:
+        """Open a client connection to the limiter."""
         return Client(*await asyncio.open_connection(*self.clients.address))
 
 
 @contextlib.asynccontextmanager
-async def limiter(*hosts: dict[str, Any], watched: Agent | None = None, **changes: Any) -> AsyncIterator[Rig]:
-    if watched:
-        changes["discovery"] = watched.address
-    rig = Rig(config(*hosts, **changes))
-    rig.clients.listen()
-    task = asyncio.create_task(rig.watch.run()) if watched else None
+async def running_limiter(
+    *hosts: dict[str, Any], agent: DiscoveryAgent | None = None, **overrides: Any
+) -> AsyncIterator[LimiterFixture]:
+    """Run a limiter that knows these hosts and, with an `agent`, watches it for changes."""
+    if agent:
+        overrides["discovery"] = agent.address
+    fixture = LimiterFixture(make_config(*hosts, **overrides))
+    fixture.clients.listen()
+    watch_task = asyncio.create_task(fixture.watch.run()) if agent else None
     try:
-        yield rig
+        yield fixture
     finally:
-        if task:
-            task.cancel()
-        rig.clients.stop_listening()
-        rig.limiter.close()
+        if watch_task:
+            watch_task.cancel()
+        fixture.clients.stop_listening()
+        fixture.limiter.close()
 
 
 @dataclass(slots=True)
-class Answer:
-    code: int
+class Response:
+    """The limiter's response to a client; header names are in lower case."""
+
+    status_code: int
     headers: dict[str, str]
     body: bytes
 
 
-def message(
-    cls: str = "read", ident: str = "9b1f03aa5c7e2d41", body: bytes = b"", **changes: str | None
+def build_request(
+    class_name: str = "read", request_id: str = "9b1f03aa5c7e2d41", body: bytes = b"", **overrides: str | None
 ) -> bytes:
-    """A request as PROTOCOL words it; `changes` name headers with _ for -, None leaves one out."""
+    """Return a valid request of a class; `overrides` replace its headers, `method` and `path`.
+
+    Header names have _ in place of -, and a header set to None is left out.
+    """
     headers: dict[str, str | None] = {
         "Host": "backend.local",
-        "Req-Id": ident,
-        "Req-Kind": cls,
+        "Req-Id": request_id,
+        "Req-Kind": class_name,
         "X-Tier": "basic",
         "X-Api-Key": "00000000b4d65521",
-        "Req-Deadline": "90",  # beyond the patience: what waits for it fails
+        "Req-Deadline": "90",  # longer than TEST_TIMEOUT_S: a test that waits for it fails
         "X-Call-Terms": "units=1,spread=3,first=1",
     }
-    if cls == "upload":
+    if class_name == "upload":
         headers["Idempotency-Key"] = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-    if cls != "read":
+    if class_name != "read":
         headers["Content-Length"] = str(len(body))
-    method = changes.pop("method", "GET" if cls == "read" else "POST")
-    path = changes.pop("path", f"/{cls}/7?a=%20b")
-    headers.update({name.replace("_", "-"): value for name, value in changes.items()})
-    rows = [f"{name}: {value}" for name, value in headers.items() if value is not None]
-    return "\r\n".join([f"{method} {path} HTTP/1.1", *rows, "", ""]).encode() + body
+    method = overrides.pop("method", "GET" if class_name == "read" else "POST")
+    path = overrides.pop("path", f"/{class_name}/7?a=%20b")
+    headers.update({name.replace("_", "-"): value for name, value in overrides.items()})
+    header_lines = [f"{name}: {value}" for name, value in headers.items() if value is not None]
+    return "\r\n".join([f"{method} {path} HTTP/1.1", *header_lines, "", ""]).encode() + body
 
 
 @dataclass(slots=True)
 class Client:
+    """A client connection that sends raw bytes."""
+
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     def send(self, raw: bytes) -> None:
         self.writer.write(raw)
 
-    async def answer(self) -> Answer:
-        line, headers, body = await read_message(self.reader)
-        return Answer(int(line.split(" ")[1]), headers, body)
+    async def read_response(self) -> Response:
+        """Read the next response."""
+        status_line, headers, body = await read_http_message(self.reader)
+        return Response(int(status_line.split(" ")[1]), headers, body)
 
-    async def ask(self, raw: bytes) -> Answer:
+    async def request(self, raw: bytes) -> Response:
+        """Send a request and read the next response."""
         self.send(raw)
-        return await self.answer()
+        return await self.read_response()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
+        """Wait until the limiter closes the connection, and check that it sends nothing before."""
         assert await self.reader.read() == b""
 
     def close(self) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -10,14 +10,25 @@
 from dataclasses import replace
 
 import pytest
-from helpers import BASE
-from sockets import Backend, Request, agent, backend, host, limiter, listing, message, run, until
+from helpers import BASE_SETTINGS
+from sockets import (
+    Backend,
+    ReceivedRequest,
+    backend,
+    build_request,
+    discovery_agent,
+    host_entry,
+    host_list,
+    run,
+    running_limiter,
+    wait_until,
+)
 
 from ironstage.net import discovery
-from ironstage.net.discovery import HostList, Watch, callers, parse_list
+from ironstage.net.discovery import HostList, Watch, count_discovery_clients, parse_host_list
 
 
-async def echo(request: Request) -> None:
+async def echo(request: ReceivedRequest) -> None:
     request.reply(body=request.headers["req-id"].encode())
 
 
@@ -25,22 +36,24 @@
     """What is out is finished; free connections close, and nothing new goes there."""
 
     async def test() -> None:
-        async with backend() as one, backend(echo) as two, agent() as watched:
-            a = host("a", one.address)
-            async with limiter(a, watched=watched) as rig:
+        async with backend() as one, backend(echo) as two, discovery_agent() as watched:
+            a = host_entry("a", one.address)
+            async with running_limiter(a, agent=watched) as rig:
                 client, other = await rig.connect(), await rig.connect()
-                client.send(message("fix", "first"))
-                held = await one.arrived.get()
-                assert await watched.watches.get() == "/discovery/hosts?follow=1&since=1"
-                watched.tell(
-                    listing(2, host("a", one.address, "leaving"), host("b", two.address), whole=False)
+                client.send(build_request("fix", "first"))
+                held = await one.request_queue.get()
+                assert await watched.watch_queries.get() == "/discovery/hosts?follow=1&since=1"
+                watched.send_line(
+                    host_list(
+                        2, host_entry("a", one.address, "leaving"), host_entry("b", two.address), whole=False
+                    )
                 )
-                await until(lambda: rig.watch.seq == 2)
+                await wait_until(lambda: rig.watch.seq == 2)
                 for n in range(5):
-                    assert (await other.ask(message("fix", f"next-{n}"))).code == 200
+                    assert (await other.request(build_request("fix", f"next-{n}"))).status_code == 200
                 await echo(held)
-                assert (await client.answer()).body == b"first"
-                await held.closed()
+                assert (await client.read_response()).body == b"first"
+                await held.wait_closed()
                 assert (len(one.requests), len(two.requests)) == (1, 5)
 
     run(test())
@@ -48,15 +61,15 @@
 
 def test_absent_from_a_whole_list() -> None:
     async def test() -> None:
-        async with backend(echo) as one, backend(echo) as two, agent() as watched:
-            async with limiter(host("a", one.address), watched=watched) as rig:
-                await watched.watches.get()
+        async with backend(echo) as one, backend(echo) as two, discovery_agent() as watched:
+            async with running_limiter(host_entry("a", one.address), agent=watched) as rig:
+                await watched.watch_queries.get()
                 client = await rig.connect()
-                assert (await client.ask(message("fix", "before"))).code == 200
-                watched.tell(listing(5, host("b", two.address)))
-                await one.requests[0].closed()
+                assert (await client.request(build_request("fix", "before"))).status_code == 200
+                watched.send_line(host_list(5, host_entry("b", two.address)))
+                await one.requests[0].wait_closed()
                 for n in range(4):
-                    assert (await client.ask(message("fix", f"{n}"))).code == 200
+                    assert (await client.request(build_request("fix", f"{n}"))).status_code == 200
                 assert (len(one.requests), len(two.requests)) == (1, 4)
 
     run(test())
@@ -64,19 +77,23 @@
 
 def test_watch_cut_and_resumed() -> None:
     async def test() -> None:
-        async with backend(echo) as one, backend(echo) as two, agent() as watched:
-            async with limiter(host("a", one.address), watched=watched) as rig:
-                await watched.watches.get()
-                watched.tell(listing(3, host("a", one.address), whole=False))
-                await until(lambda: rig.watch.seq == 3)
-                watched.tell(b'{"seq":4,"whole":true,"hosts":[')  # a line that never ends
-                watched.cut()
-                assert await watched.watches.get() == "/discovery/hosts?follow=1&since=3"
+        async with backend(echo) as one, backend(echo) as two, discovery_agent() as watched:
+            async with running_limiter(host_entry("a", one.address), agent=watched) as rig:
+                await watched.watch_queries.get()
+                watched.send_line(host_list(3, host_entry("a", one.address), whole=False))
+                await wait_until(lambda: rig.watch.seq == 3)
+                watched.send_line(b'{"seq":4,"whole":true,"hosts":[')  # a line that never ends
+                watched.drop_connection()
+                assert await watched.watch_queries.get() == "/discovery/hosts?follow=1&since=3"
                 client = await rig.connect()
-                assert (await client.ask(message("fix", "known"))).code == 200
-                watched.tell(listing(4, host("a", one.address, "left"), host("b", two.address), whole=False))
-                await until(lambda: rig.watch.seq == 4)
-                assert (await client.ask(message("fix", "moved"))).code == 200
+                assert (await client.request(build_request("fix", "known"))).status_code == 200
+                watched.send_line(
+                    host_list(
+                        4, host_entry("a", one.address, "left"), host_entry("b", two.address), whole=False
+                    )
+                )
+                await wait_until(lambda: rig.watch.seq == 4)
+                assert (await client.request(build_request("fix", "moved"))).status_code == 200
                 assert (len(one.requests), len(two.requests)) == (1, 1)
 
     run(test())
@@ -84,12 +101,12 @@
 
 def test_silent_watch(monkeypatch: pytest.MonkeyPatch) -> None:
     """No word within the time of two empty lines: the machine may have vanished."""
-    monkeypatch.setattr(discovery, "SILENCE_S", 0.1)
+    monkeypatch.setattr(discovery, "SILENCE_TIMEOUT_S", 0.1)
 
     async def test() -> None:
-        async with agent() as watched, limiter(watched=watched):
+        async with discovery_agent() as watched, running_limiter(agent=watched):
             for _ in range(3):
-                await watched.watches.get()
+                await watched.watch_queries.get()
 
     run(test())
 
@@ -98,11 +115,11 @@
     """Without discovery the list that is known serves on."""
 
     async def test() -> None:
-        async with backend(echo) as one, limiter(host("a", one.address)) as rig:
+        async with backend(echo) as one, running_limiter(host_entry("a", one.address)) as rig:
             task = asyncio.create_task(rig.watch.run())
             client = await rig.connect()
             for n in range(3):
-                assert (await client.ask(message("fix", f"{n}"))).code == 200
+                assert (await client.request(build_request("fix", f"{n}"))).status_code == 200
                 await asyncio.sleep(0.06)
             assert not task.done()
             task.cancel()
@@ -110,7 +127,7 @@
     run(test())
 
 
-A, B = host("a", "127.0.0.1:1"), host("b", "127.0.0.1:2")
+A, B = host_entry("a", "127.0.0.1:1"), host_entry("b", "127.0.0.1:2")
 
 
 class Told:
@@ -122,7 +139,7 @@
 
     def line(self, line: object) -> bool:
         raw = line if isinstance(line, bytes) else json.dumps(line).encode()
-        return self.watch._line(raw)
+        return self.watch._handle_line(raw)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +159,7 @@
 )
 def test_malformed_line(line: bytes) -> None:
     told = Told()
-    assert told.line(listing(3, A, B))
+    assert told.line(host_list(3, A, B))
     assert not told.line(line)  # asked for again
     assert (len(told.lists), told.watch.seq) == (1, 3)
 
@@ -165,7 +182,7 @@
 def test_malformed_entry(wrong: dict[str, object]) -> None:
     """The others of its list count, but what it leaves out is not gone: it may be that entry."""
     told = Told()
-    assert not told.line(listing(3, A, {**B, **wrong}))
+    assert not told.line(host_list(3, A, {**B, **wrong}))
     [got] = told.lists
     assert (got.whole, [entry.name for entry in got.hosts]) == (False, ["a"])
     assert told.watch.seq == 0
@@ -173,17 +190,19 @@
 
 def test_repeats_and_stragglers() -> None:
     told = Told()
-    told.line(listing(3, A, B))
-    for old in (listing(3), listing(2), listing(2, {**A, "health": "left"}, whole=False)):
+    told.line(host_list(3, A, B))
+    for old in (host_list(3), host_list(2), host_list(2, {**A, "health": "left"}, whole=False)):
         assert told.line(old)
     assert len(told.lists) == 1
-    told.watch._fresh = True  # a new watch: its first line, when whole, is where discovery stands
-    told.line(listing(1, A))
+    told.watch._awaiting_first_list = (
+        True  # a new watch: its first line, when whole, is where discovery stands
+    )
+    told.line(host_list(1, A))
     assert (told.watch.seq, len(told.lists)) == (1, 2)
 
 
 def test_left_without_address() -> None:
-    told, sound = parse_list(listing(3, {"host": "a", "health": "left"}, whole=False))
+    told, sound = parse_host_list(host_list(3, {"host": "a", "health": "left"}, whole=False))
     assert sound and told.hosts[0].name == "a"
 
 
@@ -191,17 +210,17 @@
     """A start told twice is the same start; else each list would look like a restart."""
 
     async def test() -> None:
-        async with agent() as watched:
+        async with discovery_agent() as watched:
             born = time.time() * 1000 - 3000
-            async with limiter(host("a", "127.0.0.1:1", born_ms=born), watched=watched) as rig:
-                await watched.watches.get()
+            async with running_limiter(host_entry("a", "127.0.0.1:1", born_ms=born), agent=watched) as rig:
+                await watched.watch_queries.get()
                 fleet = rig.limiter._gateway.fleet
                 before = fleet.peers[0]
                 for seq in range(2, 50):
-                    watched.tell(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
-                await until(lambda: rig.watch.seq == 49)
+                    watched.send_line(host_list(seq, host_entry("a", "127.0.0.1:1", born_ms=born)))
+                await wait_until(lambda: rig.watch.seq == 49)
                 assert fleet.peers[0] is before
-                assert 2500 < rig.limiter._now() - before.entry.started_ms < 30_000
+                assert 2500 < rig.limiter._now_ms() - before.entry.started_ms < 30_000
 
     run(test())
 
@@ -211,16 +230,16 @@
 
     async def test() -> None:
         async def send(number: int, server: Backend) -> None:
-            assert (await client.ask(message("fix", f"{number}"))).code == 200
+            assert (await client.request(build_request("fix", f"{number}"))).status_code == 200
             assert len(server.requests) == 1
 
-        async with backend(echo) as one, backend(echo) as two, agent() as watched:
-            async with limiter(host("a", one.address), watched=watched) as rig:
+        async with backend(echo) as one, backend(echo) as two, discovery_agent() as watched:
+            async with running_limiter(host_entry("a", one.address), agent=watched) as rig:
                 client = await rig.connect()
-                await watched.watches.get()
+                await watched.watch_queries.get()
                 await send(1, one)
-                watched.tell(listing(2, host("a", two.address), whole=False))
-                await one.requests[0].closed()
+                watched.send_line(host_list(2, host_entry("a", two.address), whole=False))
+                await one.requests[0].wait_closed()
                 await send(2, two)
 
     run(test())
@@ -230,18 +249,25 @@
     """The watch moves at once, the known list serves on, and versions that begin anew count."""
 
     async def test() -> None:
-        async with backend(echo) as one, backend(echo) as two, agent() as old, agent() as new:
-            async with limiter(host("a", one.address), watched=old) as rig:
-                await old.watches.get()
-                old.tell(listing(41, host("a", one.address)))
-                await until(lambda: rig.watch.seq == 41)
-                rig.watch.move(new.address)
-                assert await new.watches.get() == "/discovery/hosts?follow=1&since=0"
+        async with (
+            backend(echo) as one,
+            backend(echo) as two,
+            discovery_agent() as old,
+            discovery_agent() as new,
+        ):
+            async with running_limiter(host_entry("a", one.address), agent=old) as rig:
+                await old.watch_queries.get()
+                old.send_line(host_list(41, host_entry("a", one.address)))
+                await wait_until(lambda: rig.watch.seq == 41)
+                rig.watch.change_address(new.address)
+                assert await new.watch_queries.get() == "/discovery/hosts?follow=1&since=0"
                 client = await rig.connect()
-                assert (await client.ask(message("fix", "known"))).code == 200
-                new.tell(listing(2, host("a", one.address, "leaving"), host("b", two.address)))
-                await until(lambda: rig.watch.seq == 2)
-                assert (await client.ask(message("fix", "moved"))).code == 200
+                assert (await client.request(build_request("fix", "known"))).status_code == 200
+                new.send_line(
+                    host_list(2, host_entry("a", one.address, "leaving"), host_entry("b", two.address))
+                )
+                await wait_until(lambda: rig.watch.seq == 2)
+                assert (await client.request(build_request("fix", "moved"))).status_code == 200
                 assert (len(one.requests), len(two.requests)) == (1, 1)
 
     run(test())
@@ -249,14 +275,14 @@
 
 def test_moved_while_none_answers(monkeypatch: pytest.MonkeyPatch) -> None:
     """A watch that waits before its next try moves without waiting any longer."""
-    monkeypatch.setattr(discovery, "BACKOFF_S", (60.0, 60.0))
+    monkeypatch.setattr(discovery, "BACKOFF_RANGE_S", (60.0, 60.0))
 
     async def test() -> None:
-        async with agent() as new, limiter() as rig:
+        async with discovery_agent() as new, running_limiter() as rig:
             task = asyncio.create_task(rig.watch.run())
             await asyncio.sleep(0.05)
-            rig.watch.move(new.address)
-            await new.watches.get()
+            rig.watch.change_address(new.address)
+            await new.watch_queries.get()
             task.cancel()
 
     run(test())
@@ -266,27 +292,27 @@
     """By a change or by absence; one with work out once that has ended, and no number comes twice."""
 
     async def test() -> None:
-        async with backend() as server, agent() as watched:
-            async with limiter(host("s-0", server.address), watched=watched) as rig:
+        async with backend() as server, discovery_agent() as watched:
+            async with running_limiter(host_entry("s-0", server.address), agent=watched) as rig:
                 fleet, numbers = rig.limiter._gateway.fleet, set[int]()
-                await watched.watches.get()
+                await watched.watch_queries.get()
                 client = await rig.connect()
-                client.send(message("fix", "held"))
-                held = await server.arrived.get()
+                client.send(build_request("fix", "held"))
+                held = await server.request_queue.get()
                 for n in range(1, 200):
-                    new = host(f"s-{n}", server.address)
+                    new = host_entry(f"s-{n}", server.address)
                     if n % 2:
-                        watched.tell(listing(n + 1, new))
+                        watched.send_line(host_list(n + 1, new))
                     else:
                         left = {"host": f"s-{n - 1}", "health": "left"}
-                        watched.tell(listing(n + 1, new, left, whole=False))
-                    await until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
-                    assert len(rig.limiter._numbers) == len(rig.limiter._servers._servers) == 1
+                        watched.send_line(host_list(n + 1, new, left, whole=False))
+                    await wait_until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
+                    assert len(rig.limiter._server_ids) == len(rig.limiter._servers._servers) == 1
                     assert len(fleet.peers) == 2  # and the one with work out
-                    numbers |= set(rig.limiter._numbers.values())
+                    numbers |= set(rig.limiter._server_ids.values())
                 assert len(numbers) == 199
                 await echo(held)
-                assert (await client.answer()).body == b"held"
+                assert (await client.read_response()).body == b"held"
                 assert len(fleet.peers) == 1
 
     run(test())
@@ -321,7 +347,7 @@
     few, many = waits(2, 1, monkeypatch), waits(40, 1, monkeypatch)
     assert few[0] <= 0.05 and max(few) <= 1.0
     assert 1.0 <= many[1] <= 2.0
-    assert all(2.5 <= wait <= discovery.LONGEST_S for wait in many[4:])
+    assert all(2.5 <= wait <= discovery.MAX_BACKOFF_S for wait in many[4:])
 
 
 def test_limiters_that_start_together_do_not_ask_discovery_together(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -331,7 +357,11 @@
 
 def test_pushed_changes_are_asked_for_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
     """herd+mass: a restarted limiter waited up to 5 s for drains that its agent had been told of long ago."""
-    pushed = waits(callers(replace(BASE, gateway_count=200)), 1, monkeypatch)
-    asked = waits(callers(replace(BASE, gateway_count=200, must_subscribe=True)), 1, monkeypatch)
-    assert pushed[0] * 1000 < BASE.drain_grace_ms / 4 and max(pushed) <= 1.0
+    pushed = waits(count_discovery_clients(replace(BASE_SETTINGS, gateway_count=200)), 1, monkeypatch)
+    asked = waits(
+        count_discovery_clients(replace(BASE_SETTINGS, gateway_count=200, must_subscribe=True)),
+        1,
+        monkeypatch,
+    )
+    assert pushed[0] * 1000 < BASE_SETTINGS.drain_grace_ms / 4 and max(pushed) <= 1.0
     assert max(asked[1:]) > 2.5
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from helpers import Rig, kinds, sends
+from helpers import GatewayFixture, action_names, send_actions
 
 from ironstage import latency
 
@@ -75,26 +75,26 @@
             assert 0.0 < distribution.probability_within(wait_ms) <= 1.0
 
 
-def rig_with_latency_history(waits_ms: list[float]) -> Rig:
+def rig_with_latency_history(waits_ms: list[float]) -> GatewayFixture:
     """Return a gateway that has sent 60 requests of the safe class to a healthy back end.
 
     The back end's latencies are spread evenly over 20 to 140 ms. The clients' waits cycle through `waits_ms`;
     a request whose latency exceeds its wait times out.
     """
-    rig = Rig(gateway_count=200)
+    rig = GatewayFixture(gateway_count=200)
     for step in range(60):
         now_ms = 1.0 + 40.0 * step
         wait_ms, answer_time_ms = waits_ms[step % len(waits_ms)], 20.0 + 2.0 * (step * 37 % 60)
-        (sent,) = sends(rig.arrive(now_ms, SAFE_CLASS_INDEX, deadline=wait_ms))
+        (sent,) = send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
         answered = answer_time_ms <= wait_ms
-        rig.done(
+        rig.end_attempt(
             now_ms + 1.0,
             sent,
             "ok" if answered else "timeout",
-            elapsed=min(answer_time_ms, wait_ms),
-            closed=True,
+            elapsed_ms=min(answer_time_ms, wait_ms),
+            request_closed=True,
         )
-    rig.tick(2500.0)
+    rig.fire_timer(2500.0)
     return rig
 
 
@@ -106,7 +106,9 @@
         for wait_ms in admitted:
             rig.gateway.count = [0, 0]
             rig.gateway.rerun_ms = now_ms = 2600.0 + n / 100.0
-            admitted[wait_ms] += len(sends(rig.arrive(now_ms, SAFE_CLASS_INDEX, deadline=wait_ms)))
+            admitted[wait_ms] += len(
+                send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
+            )
     assert admitted[1000.0] >= 380
     assert admitted[40.0] < 100
 
@@ -114,7 +116,9 @@
 def test_uncapped_lane_admits_requests_with_short_deadlines() -> None:
     rig = rig_with_latency_history([1000.0])
     assert rig.gateway.caps[0] == float("inf")
-    assert all(sends(rig.arrive(2600.0 + n, SAFE_CLASS_INDEX, deadline=40.0)) for n in range(20))
+    assert all(
+        send_actions(rig.submit_request(2600.0 + n, SAFE_CLASS_INDEX, timeout_ms=40.0)) for n in range(20)
+    )
 
 
 def test_capped_lane_still_admits_a_class_with_only_short_deadlines() -> None:
@@ -125,10 +129,10 @@
     for n in range(400):
         rig.gateway.count = [0, 0]
         rig.gateway.rerun_ms = now_ms = 2600.0 + n / 100.0
-        admitted += len(sends(rig.arrive(now_ms, SAFE_CLASS_INDEX, deadline=40.0)))
+        admitted += len(send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=40.0)))
     assert admitted > 0
     rig.gateway.count = [0, 0]
-    assert kinds(rig.arrive(2700.0, SAFE_CLASS_INDEX, deadline=1000.0)) == ["Send"]
+    assert action_names(rig.submit_request(2700.0, SAFE_CLASS_INDEX, timeout_ms=1000.0)) == ["Send"]
 
 
 def test_timeouts_of_short_deadlines_are_not_taken_for_lost_answers() -> None:
@@ -145,12 +149,12 @@
     rig = rig_with_latency_history([1000.0])
     mean_latency_ms, wait_ms = rig.gateway.fleet.mean_ms, 10.0
     assert mean_latency_ms > 70.0
-    (sent,) = sends(rig.arrive(2600.0, SAFE_CLASS_INDEX, deadline=wait_ms))
-    rig.done(2600.0 + wait_ms, sent, "timeout", elapsed=wait_ms, closed=True)
+    (sent,) = send_actions(rig.submit_request(2600.0, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
+    rig.end_attempt(2600.0 + wait_ms, sent, "timeout", elapsed_ms=wait_ms, request_closed=True)
     outstanding = rig.gateway.count[0]
-    rig.tick(2600.0 + wait_ms + mean_latency_ms - 1.0)
+    rig.fire_timer(2600.0 + wait_ms + mean_latency_ms - 1.0)
     assert rig.gateway.count[0] == outstanding > 0
-    rig.tick(2600.0 + wait_ms + mean_latency_ms + 1.0)
+    rig.fire_timer(2600.0 + wait_ms + mean_latency_ms + 1.0)
     assert rig.gateway.count[0] == outstanding - 1
 
 
@@ -182,15 +186,15 @@
     rig = rig_with_latency_history([1000.0])
     mean_latency_ms = rig.gateway.fleet.mean_ms
     for n in range(8):
-        assert sends(rig.arrive(2600.0 + n, SAFE_CLASS_INDEX))
-    rig.tick(3550.0)
+        assert send_actions(rig.submit_request(2600.0 + n, SAFE_CLASS_INDEX))
+    rig.fire_timer(3550.0)
     assert rig.gateway.fleet.mean_ms > 1.5 * mean_latency_ms
 
 
 def test_single_outstanding_attempt_past_its_deadline_does_not_change_the_mean_latency() -> None:
     rig = rig_with_latency_history([1000.0])
     mean_latency_ms = rig.gateway.fleet.mean_ms
-    assert sends(rig.arrive(2600.0, SAFE_CLASS_INDEX))
-    rig.tick(3601.0)
-    rig.tick(4200.0)
+    assert send_actions(rig.submit_request(2600.0, SAFE_CLASS_INDEX))
+    rig.fire_timer(3601.0)
+    rig.fire_timer(4200.0)
     assert rig.gateway.fleet.mean_ms == pytest.approx(mean_latency_ms, rel=0.1)
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 import pytest
-from sockets import Request, backend, host, limiter, message, run
+from sockets import ReceivedRequest, backend, build_request, host_entry, run, running_limiter
 
 METERED = {
     "contracts": [{"name": "basic", "rate": 100.0, "mostAtOnce": 100_000.0}],
@@ -41,14 +41,14 @@
     async def test() -> None:
         told = "0"
 
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply("200 OK", b"x", f"X-RateLimit-Used: {told}")
 
         async with backend(script) as server:
-            async with limiter(host("a", server.address), settings=METERED) as rig:
-                start = rig.limiter._now() // 1000.0 * 1000.0 + 1000.0
+            async with running_limiter(host_entry("a", server.address), settings=METERED) as rig:
+                start = rig.limiter._now_ms() // 1000.0 * 1000.0 + 1000.0
                 clock = [start]
-                rig.limiter._now = lambda: clock[0]  # type: ignore[method-assign]
+                rig.limiter._now_ms = lambda: clock[0]  # type: ignore[method-assign]
                 client, sent, number = await rig.connect(), [], count()
                 for now, customer, ours in tries(random.Random(seed), 20):
                     sent.append((now, customer))
@@ -57,8 +57,8 @@
                         used = sum(1 for at, whose in sent if whose == customer and end - 1000.0 <= at < end)
                         clock[0], told = start + now, str(used)
                         key = {"X_Api_Key": f"{customer:016x}", "X_Call_Terms": "units=1,spread=2,first=0"}
-                        answer = await client.ask(message(ident=f"id-{next(number)}", **key))
-                        assert answer.code == 200
+                        answer = await client.request(build_request(request_id=f"id-{next(number)}", **key))
+                        assert answer.status_code == 200
                 last = (clock[0] - start - LAG_MS) // 1000.0 * 1000.0
                 assert abs(rig.limiter._gateway.clock.window(clock[0])[1] - start - last) <= 150.0
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -17,15 +17,15 @@
 from sockets import (
     SETTINGS,
     Client,
-    Request,
-    agent,
+    ReceivedRequest,
     backend,
-    host,
-    listing,
-    message,
+    build_request,
+    discovery_agent,
+    host_entry,
+    host_list,
     run,
-    until,
     unused_address,
+    wait_until,
 )
 
 from ironstage.net.config import ConfigError, load
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def echo(request: Request) -> None:
+async def echo(request: ReceivedRequest) -> None:
     request.reply(body=request.headers["req-id"].encode())
 
 
@@ -51,9 +51,9 @@
         while True:
             with contextlib.suppress(ConnectionError):
                 client = await self.connect()
-                answer = await client.ask(b"GET /up HTTP/1.1\r\n\r\n")
+                answer = await client.request(b"GET /up HTTP/1.1\r\n\r\n")
                 client.close()
-                if answer.code == 200:
+                if answer.status_code == 200:
                     return
             await asyncio.sleep(0.02)
 
@@ -69,7 +69,7 @@
         "discovery": unused_address(),
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": listing(1, *hosts),
+        "known": host_list(1, *hosts),
         "settings": SETTINGS,
     }
     file.write_text(json.dumps(raw))
@@ -97,34 +97,34 @@
     """What was taken is finished, connections still come for a while, and the exit is clean."""
 
     async def test() -> None:
-        async with backend() as server, program(tmp_path, host("a", server.address)) as made:
+        async with backend() as server, program(tmp_path, host_entry("a", server.address)) as made:
             idle, busy = await made.connect(), await made.connect()
-            assert (await idle.ask(b"GET /up HTTP/1.1\r\n\r\n")).code == 200
-            busy.send(message("fix", "taken"))
-            taken = await server.arrived.get()
+            assert (await idle.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
+            busy.send(build_request("fix", "taken"))
+            taken = await server.request_queue.get()
             made.process.send_signal(number)
-            await idle.closed()
+            await idle.wait_closed()
             late = await made.connect()
-            late.send(b"GET /up HTTP/1.1\r\n\r\n" + message("fix", "late"))
-            came = await server.arrived.get()
+            late.send(b"GET /up HTTP/1.1\r\n\r\n" + build_request("fix", "late"))
+            came = await server.request_queue.get()
             await echo(came)
-            answer = await late.answer()
-            assert (answer.code, answer.headers.get("connection")) == (503, None)
-            answer = await late.answer()
+            answer = await late.read_response()
+            assert (answer.status_code, answer.headers.get("connection")) == (503, None)
+            answer = await late.read_response()
             assert (answer.body, answer.headers["connection"]) == (b"late", "close")
-            await late.closed()
+            await late.wait_closed()
             last = await made.connect()
-            last.send(message("fix", "half", b"body")[:-4])
+            last.send(build_request("fix", "half", b"body")[:-4])
             with contextlib.suppress(ConnectionRefusedError):
                 while True:  # until nobody listens any more
                     (await made.connect()).close()
                     await asyncio.sleep(0.01)
             last.send(b"body")
-            await echo(await server.arrived.get())
-            answer = await last.answer()
+            await echo(await server.request_queue.get())
+            answer = await last.read_response()
             assert (answer.body, answer.headers["connection"]) == (b"half", "close")
             await echo(taken)
-            answer = await busy.answer()
+            answer = await busy.read_response()
             assert (answer.body, answer.headers["connection"]) == (b"taken", "close")
             assert await made.process.wait() == 0
 
@@ -140,25 +140,25 @@
     async def test() -> None:
         async with (
             backend() as server,
-            program(tmp_path, host("a", server.address), limit=limit) as made,
+            program(tmp_path, host_entry("a", server.address), limit=limit) as made,
         ):
             first = await made.connect()
-            first.send(message("fix", "in-hand"))
-            held = await server.arrived.get()
+            first.send(build_request("fix", "in-hand"))
+            held = await server.request_queue.get()
             # Each has begun a request, so that none is idle and may give way.
             crowd = [await made.connect() for _ in range(80)]
             for client in crowd:
-                client.send(message("fix")[:10])
+                client.send(build_request("fix")[:10])
             log = tmp_path / "log"
-            await until(lambda: "no descriptor for a new connection" in log.read_text())
+            await wait_until(lambda: "no descriptor for a new connection" in log.read_text())
             await echo(held)
-            assert (await first.answer()).body == b"in-hand"
-            server.script = echo
+            assert (await first.read_response()).body == b"in-hand"
+            server.handler = echo
             waiting = crowd.pop()
             for client in crowd:
                 client.close()
-            waiting.send(message("fix", "waited")[10:])
-            assert (await waiting.answer()).body == b"waited"
+            waiting.send(build_request("fix", "waited")[10:])
+            assert (await waiting.read_response()).body == b"waited"
             made.process.send_signal(signal.SIGTERM)
             assert await made.process.wait() == 0
             assert "Traceback" not in log.read_text()
@@ -172,22 +172,22 @@
     async def test() -> None:
         async with (
             backend(echo) as server,
-            agent() as old,
-            agent() as new,
-            program(tmp_path, host("a", server.address)) as made,
+            discovery_agent() as old,
+            discovery_agent() as new,
+            program(tmp_path, host_entry("a", server.address)) as made,
         ):
             log, good = tmp_path / "log", json.loads(made.file.read_text())
             for text in ("{", "[]", json.dumps({**good, "discovery": "nowhere"})):
                 said = log.read_text().count("the configuration stays")
                 made.file.write_text(text)
                 made.process.send_signal(signal.SIGHUP)
-                await until(lambda said=said: log.read_text().count("the configuration stays") > said)  # type: ignore[misc]
+                await wait_until(lambda said=said: log.read_text().count("the configuration stays") > said)  # type: ignore[misc]
             for watched in (old, new):
                 made.file.write_text(json.dumps({**good, "discovery": "{}:{}".format(*watched.address)}))
                 made.process.send_signal(signal.SIGHUP)
-                await watched.watches.get()
+                await watched.watch_queries.get()
             client = await made.connect()
-            assert (await client.ask(message("fix", "on"))).body == b"on"
+            assert (await client.request(build_request("fix", "on"))).body == b"on"
             made.process.send_signal(signal.SIGTERM)
             assert await made.process.wait() == 0
 
@@ -209,11 +209,11 @@
     file.write_text(json.dumps(GOOD))
     got = load({"GW_CONFIG": str(file), "GW_NAME": "n4", "GW_LISTEN": "[::1]:9001"})
     assert (got.name, got.listen, got.discovery) == ("n4", ("::1", 9001), ("127.0.0.1", 8500))
-    assert (got.seed, got.sockets, got.connect_s, got.idle_s) == (255, 512, 0.25, 30.0)
-    assert got.body_bytes == 43 << 20 and got.settings.max_retry_after_ms == 500.0
+    assert (got.seed, got.sockets, got.connect_timeout_s, got.server_idle_timeout_s) == (255, 512, 0.25, 30.0)
+    assert got.max_buffered_body_bytes == 43 << 20 and got.settings.max_retry_after_ms == 500.0
     small = {**GOOD, "limits": {"memory_mb": 32}}
     file.write_text(json.dumps(small))
-    assert load({"GW_CONFIG": str(file)}).body_bytes == 3 << 20
+    assert load({"GW_CONFIG": str(file)}).max_buffered_body_bytes == 3 << 20
     assert got.settings.classes[2].name == "fix" and got.zones == ("hall-a", "hall-b")
 
 
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -5,7 +5,7 @@
 import random
 
 import pytest
-from helpers import Rig, sends
+from helpers import GatewayFixture, send_actions
 
 from ironstage import interface as api
 from ironstage import policy
@@ -107,23 +107,23 @@
 
 def test_idle_customers_are_forgotten() -> None:
     """Memory grew with every customer ever seen: thousands, at hundreds of doors each."""
-    rig = Rig()
+    rig = GatewayFixture()
     for n in range(50):
-        rig.done(20.0 + n, sends(rig.arrive(10.0 + n, customer=n))[0], "ok")
-    (kept,) = sends(rig.arrive(100.0, customer=99))
-    rig.arrive(130000.0, customer=7)
-    rig.arrive(260000.0, customer=7)
+        rig.end_attempt(20.0 + n, send_actions(rig.submit_request(10.0 + n, customer_id=n))[0], "ok")
+    (kept,) = send_actions(rig.submit_request(100.0, customer_id=99))
+    rig.submit_request(130000.0, customer_id=7)
+    rig.submit_request(260000.0, customer_id=7)
     assert set(rig.gateway.customers) == {99, 7}
-    rig.done(260010.0, kept, "ok")
+    rig.end_attempt(260010.0, kept, "ok")
 
 
 def test_one_time_customers_are_forgotten() -> None:
     """However many come, only those of the last while are held; one whose try is out stays."""
-    rig = Rig()
-    kept = sends(rig.arrive(0.0, customer=1_000_000))
+    rig = GatewayFixture()
+    kept = send_actions(rig.submit_request(0.0, customer_id=1_000_000))
     for step in range(5000):
-        [sent] = sends(rig.arrive(step * 50.0, customer=step))
-        rig.done(step * 50.0 + 20.0, sent, "ok")
+        [sent] = send_actions(rig.submit_request(step * 50.0, customer_id=step))
+        rig.end_attempt(step * 50.0 + 20.0, sent, "ok")
     assert kept and 1_000_000 in rig.gateway.customers
     assert len(rig.gateway.customers) < 1000
     assert len(rig.gateway.fleet.due) < 200
@@ -133,22 +133,22 @@
     """The longest idle go early, but none before its ceiling is full again: it would be passed."""
     monkeypatch.setattr(policy, "MOST_CUSTOMERS", 50)
     slow = api.Plan(rate=1000, burst=2000, ceiling_rate=0.5, ceiling_depth=100.0)
-    rig = Rig(plans=(slow,))
+    rig = GatewayFixture(plans=(slow,))
     now = 300_000.0
     for step in range(300):
-        [sent] = sends(rig.arrive(now + step, customer=step))
-        rig.done(now + step, sent, "ok")
-    rig.tick(now + 1050.0)
+        [sent] = send_actions(rig.submit_request(now + step, customer_id=step))
+        rig.end_attempt(now + step, sent, "ok")
+    rig.fire_timer(now + 1050.0)
     assert len(rig.gateway.customers) == 300
-    rig.tick(now + 5000.0)
+    rig.fire_timer(now + 5000.0)
     assert len(rig.gateway.customers) == 50
 
 
 def test_a_customers_log_is_bounded_by_time() -> None:
-    rig = Rig()
+    rig = GatewayFixture()
     for step in range(5000):
-        [sent] = sends(rig.arrive(step * 50.0))
-        rig.done(step * 50.0 + 20.0, sent, "ok")
+        [sent] = send_actions(rig.submit_request(step * 50.0))
+        rig.end_attempt(step * 50.0 + 20.0, sent, "ok")
     [customer] = rig.gateway.customers.values()
     assert 200 <= len(customer.log) <= 450
     end = 5000 * 50.0
@@ -158,25 +158,25 @@
 def test_a_ceiling_fills_from_the_start_of_the_gateway() -> None:
     """Empty at the start, as an earlier life may have drawn all; what it gave since then is there at once."""
     plan = api.Plan(rate=1000, burst=2000, ceiling_rate=10.0, ceiling_depth=8.0)
-    rig = Rig(plans=(plan,))
-    assert not sends(rig.arrive(50.0, customer=1, doors=2))
-    tries = [rig.arrive(400.0, customer=2, doors=2) for _ in range(5)]
-    assert sum(len(sends(actions)) for actions in tries) == 2  # 0.4 s of half the rate
-    tries = [rig.arrive(90_000.0, customer=3, doors=2) for _ in range(9)]
-    assert sum(len(sends(actions)) for actions in tries) == 4  # half the depth
+    rig = GatewayFixture(plans=(plan,))
+    assert not send_actions(rig.submit_request(50.0, customer_id=1, customer_gateway_count=2))
+    tries = [rig.submit_request(400.0, customer_id=2, customer_gateway_count=2) for _ in range(5)]
+    assert sum(len(send_actions(actions)) for actions in tries) == 2  # 0.4 s of half the rate
+    tries = [rig.submit_request(90_000.0, customer_id=3, customer_gateway_count=2) for _ in range(9)]
+    assert sum(len(send_actions(actions)) for actions in tries) == 4  # half the depth
 
 
 def test_a_refusal_tells_when_to_come_back() -> None:
     """Soon where the quota has room; beyond it once the store holds the units, within the bound."""
-    rig = Rig([], plans=(api.Plan(rate=5, burst=1),), max_retry_after_ms=500)
-    [refused] = rig.arrive(1.0, customer=1)
+    rig = GatewayFixture([], plans=(api.Plan(rate=5, burst=1),), max_retry_after_ms=500)
+    [refused] = rig.submit_request(1.0, customer_id=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == policy.REFERENCE_MS
     beyond = rig.gateway.customers[1]
     beyond.usage, beyond.store.level = 300, -0.5
-    [refused] = rig.arrive(1.0, customer=1)
+    [refused] = rig.submit_request(1.0, customer_id=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == pytest.approx(300.0)
     beyond.store.level = -9.0
-    [refused] = rig.arrive(1.0, customer=1)
+    [refused] = rig.submit_request(1.0, customer_id=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == 500.0
 
 
--- a/tests/test_repeats.py
+++ b/tests/test_repeats.py
@@ -2,7 +2,16 @@
 
 from __future__ import annotations
 
-from sockets import SETTINGS, Client, Request, backend, host, limiter, message, run
+from sockets import (
+    SETTINGS,
+    Client,
+    ReceivedRequest,
+    backend,
+    build_request,
+    host_entry,
+    run,
+    running_limiter,
+)
 
 AIMED = {**SETTINGS["services"][0], "aimMs": 60_000.0, "hardLimitMs": 100_000.0}
 SCARCE = {"services": [AIMED], "contracts": [{"name": "basic", "rate": 0.01, "mostAtOnce": 4.0}]}
@@ -12,18 +21,18 @@
 ALONE = "units=1,spread=1,first=0"
 
 
-async def serve(request: Request) -> None:
+async def serve(request: ReceivedRequest) -> None:
     request.reply(body=b"x")
 
 
 async def ask(client: Client, ident: str, customer: int, wait: str) -> int:
-    raw = message(
-        ident=ident,
+    raw = build_request(
+        request_id=ident,
         X_Api_Key=f"{customer:016x}",
         Req_Deadline=wait,
         X_Call_Terms=ALONE,
     )
-    return (await client.ask(raw)).code
+    return (await client.request(raw)).status_code
 
 
 def test_a_repeat_that_comes_too_late_takes_nothing_that_is_scarce() -> None:
@@ -31,7 +40,7 @@
 
     async def test() -> None:
         async with backend(serve) as server:
-            async with limiter(host("a", server.address), settings=SCARCE) as rig:
+            async with running_limiter(host_entry("a", server.address), settings=SCARCE) as rig:
                 client = await rig.connect()
                 for n in range(12):  # few wait for longer than most
                     assert await ask(client, f"other-{n}", 100 + n, "99" if n % 6 == 0 else USUAL) == 200
@@ -49,7 +58,7 @@
 
     async def test() -> None:
         async with backend(serve) as server:
-            async with limiter(host("a", server.address), settings=SCARCE) as rig:
+            async with running_limiter(host_entry("a", server.address), settings=SCARCE) as rig:
                 client = await rig.connect()
                 for n in range(12):
                     assert await ask(client, f"other-{n}", 100 + n, "99" if n % 2 else LATE) == 200
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -11,31 +11,31 @@
 import pytest
 from sockets import (
     Backend,
-    Request,
-    agent,
+    ReceivedRequest,
     backend,
-    host,
-    limiter,
-    listing,
-    message,
+    build_request,
+    discovery_agent,
+    host_entry,
+    host_list,
     run,
-    until,
+    running_limiter,
     unused_address,
+    wait_until,
 )
 
 from ironstage.interface import CallStatus
 from ironstage.net import servers as servers_module
-from ironstage.net.servers import Reply, Servers
+from ironstage.net.servers import AttemptResult, Servers
 
 DECLINED = "Srv-Declined: 1"
 
 
 async def ask_once(server: Backend, cls: str = "fix", **headers: str) -> tuple[int, int, bytes]:
     """The answer to one request, and how often the server got it."""
-    async with limiter(host("a", server.address)) as rig:
+    async with running_limiter(host_entry("a", server.address)) as rig:
         client = await rig.connect()
-        answer = await client.ask(message(cls, **headers))
-        return answer.code, len(server.requests), answer.body
+        answer = await client.request(build_request(cls, **headers))
+        return answer.status_code, len(server.requests), answer.body
 
 
 @pytest.mark.parametrize(
@@ -53,7 +53,7 @@
 )
 def test_answers(status: str, header: str, code: int, tries: int) -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply(status, b"body", header)
 
         async with backend(script) as server:
@@ -65,15 +65,15 @@
 
 def test_what_goes_on() -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply(body=b"\x00\xff" * 30000)
 
-        async with backend(script) as server, limiter(host("a", server.address)) as rig:
+        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            answer = await client.ask(message("upload", "id-7", b"\x00payload\xff"))
+            answer = await client.request(build_request("upload", "id-7", b"\x00payload\xff"))
             assert answer.body == b"\x00\xff" * 30000
             [got] = server.requests
-            assert got.line == "POST /upload/7?a=%20b HTTP/1.1"
+            assert got.request_line == "POST /upload/7?a=%20b HTTP/1.1"
             assert got.body == b"\x00payload\xff"
             assert got.headers["req-id"] == "id-7"
             assert got.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -84,9 +84,9 @@
 
 def test_refused_connection() -> None:
     async def test() -> None:
-        async with limiter(host("a", unused_address())) as rig:
+        async with running_limiter(host_entry("a", unused_address())) as rig:
             client = await rig.connect()
-            assert (await client.ask(message("fix"))).code == 429
+            assert (await client.request(build_request("fix"))).status_code == 429
 
     run(test())
 
@@ -110,9 +110,9 @@
 def test_connection_that_never_comes_up() -> None:
     async def test() -> None:
         with deaf_listener() as address:
-            async with limiter(host("a", address)) as rig:
+            async with running_limiter(host_entry("a", address)) as rig:
                 client = await rig.connect()
-                assert (await client.ask(message("fix"))).code == 429
+                assert (await client.request(build_request("fix"))).status_code == 429
 
     run(test())
 
@@ -120,17 +120,17 @@
 def test_time_out_before_the_connection_is_up() -> None:
     async def test() -> None:
         with deaf_listener() as address:
-            async with limiter(host("a", address), connect_s=20.0) as rig:
+            async with running_limiter(host_entry("a", address), connect_timeout_s=20.0) as rig:
                 client = await rig.connect()
-                assert (await client.ask(message("fix", Req_Deadline="0.2"))).code == 429
+                assert (await client.request(build_request("fix", Req_Deadline="0.2"))).status_code == 429
 
     run(test())
 
 
 def test_break_after_the_last_byte() -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
-            request.reset()
+        async def script(request: ReceivedRequest) -> None:
+            request.reset_connection()
 
         async with backend(script) as server:
             assert (await ask_once(server))[:2] == (502, 1)
@@ -140,7 +140,7 @@
 
 def test_answer_cut_short() -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
             request.writer.close()
 
@@ -172,18 +172,18 @@
     """Its attempt ends at once as one that may have run; the server stays in use and the rest is not read."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             if len(server.requests) == 1:
                 request.writer.write(raw)
-                await request.closed()
+                await request.wait_closed()
             else:
                 request.reply(body=b"good")
 
-        async with backend(script) as server, limiter(host("a", server.address)) as rig:
+        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            assert (await client.ask(message("fix", "spoilt"))).code == 502
+            assert (await client.request(build_request("fix", "spoilt"))).status_code == 502
             assert not rig.limiter._gateway.fleet.suspects
-            assert (await client.ask(message("fix", "next"))).body == b"good"
+            assert (await client.request(build_request("fix", "next"))).body == b"good"
             assert len(server.requests) == 2
 
     run(test())
@@ -200,7 +200,7 @@
 )
 def test_framing(raw: bytes) -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.writer.write(raw)
 
         async with backend(script) as server:
@@ -211,10 +211,10 @@
 
 def test_interim_answer_long_before(monkeypatch: pytest.MonkeyPatch) -> None:
     """It says nothing of when the final one begins, and does not count as one that stopped short."""
-    monkeypatch.setattr(servers_module, "SHORT_S", 0.02)
+    monkeypatch.setattr(servers_module, "PARTIAL_RESPONSE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await asyncio.sleep(0.2)
             request.reply(body=b"whole")
@@ -229,7 +229,7 @@
     """The head is not counted with the body, however they arrive."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 15000 + b"\r\nContent-Length: 65536\r\n\r\n"
             request.writer.write(head + b"x" * 50000)
             await asyncio.sleep(0.05)
@@ -243,7 +243,7 @@
 
 def test_answer_too_large() -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply(body=b"x" * 200_000)
 
         async with backend(script) as server:
@@ -256,20 +256,20 @@
     """Its attempt ends in time, its connection is closed, and the client hears before it gives up."""
 
     async def test() -> None:
-        async with backend() as server, limiter(host("a", server.address)) as rig:
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            client.send(message("fix", Req_Deadline="0.3"))
-            request = await server.arrived.get()
-            assert (await client.answer()).code == 502
-            await request.closed()
+            client.send(build_request("fix", Req_Deadline="0.3"))
+            request = await server.request_queue.get()
+            assert (await client.read_response()).status_code == 502
+            await request.wait_closed()
             assert len(server.requests) == 1
 
     run(test())
 
 
-async def outcome(servers: Servers, number: int, raw: bytes, seconds: float = 20.0) -> Reply:
+async def outcome(servers: Servers, number: int, raw: bytes, seconds: float = 20.0) -> AttemptResult:
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[Reply] = loop.create_future()
+    ended: asyncio.Future[AttemptResult] = loop.create_future()
     servers.send(number, raw, loop.time() + seconds, ended.set_result)
     return await ended
 
@@ -296,7 +296,7 @@
 
     async def test() -> None:
         listener, servers = Listener(), Servers(10, 1.0, 30.0)
-        servers.place(1, listener.address, True)
+        servers.add_or_update(1, listener.address, True)
         large = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
         task = asyncio.create_task(outcome(servers, 1, large, 0.3 if timed_out else 20.0))
         peer = await listener.accept()
@@ -313,14 +313,14 @@
 
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
-        servers.place(1, listener.address, True)
+        servers.add_or_update(1, listener.address, True)
         first = asyncio.create_task(outcome(servers, 1, REQUEST))
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
         peer.send(OK)
         assert (await first).status is CallStatus.OK
         peer.close()
-        ended: asyncio.Future[Reply] = loop.create_future()
+        ended: asyncio.Future[AttemptResult] = loop.create_future()
         servers.send(1, REQUEST, loop.time() + 20, ended.set_result)  # no turn of the loop between
         peer = await listener.accept()
         assert await loop.sock_recv(peer, 100) == REQUEST
@@ -334,17 +334,17 @@
     """A request that crosses the close is reported, never sent again: it may have run."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             if len(server.requests) == 1:
                 request.reply(body=b"first")
             else:
-                request.reset()
+                request.reset_connection()
 
-        async with backend(script) as server, limiter(host("a", server.address)) as rig:
+        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            assert (await client.ask(message("fix", "one"))).code == 200
-            assert (await client.ask(message("fix", "two"))).code == 502
-            assert [request.connection for request in server.requests] == [1, 1]
+            assert (await client.request(build_request("fix", "one"))).status_code == 200
+            assert (await client.request(build_request("fix", "two"))).status_code == 502
+            assert [request.connection_number for request in server.requests] == [1, 1]
 
     run(test())
 
@@ -353,16 +353,16 @@
     """An answer to nothing must not become the answer to the next request."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply(body=b"own")
 
-        async with backend(script) as server, limiter(host("a", server.address)) as rig:
+        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            assert (await client.ask(message("fix", "one"))).body == b"own"
+            assert (await client.request(build_request("fix", "one"))).body == b"own"
             server.requests[0].reply(body=b"stray")
-            await server.requests[0].closed()
-            assert (await client.ask(message("fix", "two"))).body == b"own"
-            assert server.requests[1].connection == 2
+            await server.requests[0].wait_closed()
+            assert (await client.request(build_request("fix", "two"))).body == b"own"
+            assert server.requests[1].connection_number == 2
 
     run(test())
 
@@ -372,8 +372,8 @@
 
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
-        servers.place(1, listener.address, True)
-        ended: asyncio.Future[Reply] = loop.create_future()
+        servers.add_or_update(1, listener.address, True)
+        ended: asyncio.Future[AttemptResult] = loop.create_future()
         attempt = servers.send(1, REQUEST, loop.time() + 20, ended.set_result)
         peer = await listener.accept()
         await loop.sock_recv(peer, 100)
@@ -389,17 +389,17 @@
         async with backend() as server:
             servers = Servers(10, 1.0, 0.2)
             dial, port = server.address.split(":")
-            servers.place(1, (dial, int(port)), True)
+            servers.add_or_update(1, (dial, int(port)), True)
             tasks = [asyncio.create_task(outcome(servers, 1, REQUEST)) for _ in range(2)]
-            held = [await server.arrived.get() for _ in tasks]
+            held = [await server.request_queue.get() for _ in tasks]
             held[0].reply()
             held[1].reply()
             await asyncio.gather(*tasks)
-            servers.sweep()
-            assert server.connections == 2
-            closed = [asyncio.create_task(request.closed()) for request in held]
+            servers.close_expired_connections()
+            assert server.connection_count == 2
+            closed = [asyncio.create_task(request.wait_closed()) for request in held]
             while not all(task.done() for task in closed):
-                servers.sweep()
+                servers.close_expired_connections()
                 await asyncio.sleep(0.01)
 
     run(test())
@@ -409,18 +409,18 @@
     """At the bound a free connection of another server makes room; without one the attempt fails."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply()
 
         async with backend(script) as one, backend() as two:
             servers = Servers(1, 1.0, 30.0)
             for number, server in enumerate((one, two)):
                 name, port = server.address.split(":")
-                servers.place(number, (name, int(port)), True)
+                servers.add_or_update(number, (name, int(port)), True)
             assert (await outcome(servers, 0, REQUEST)).status is CallStatus.OK
             task = asyncio.create_task(outcome(servers, 1, REQUEST))
-            await one.requests[0].closed()
-            held = await two.arrived.get()
+            await one.requests[0].wait_closed()
+            held = await two.request_queue.get()
             assert (await outcome(servers, 0, REQUEST)).status is CallStatus.CONNECT_FAILED
             held.reply()
             assert (await task).status is CallStatus.OK
@@ -436,18 +436,18 @@
             [["X-RateLimit-Used: 85", 'Srv-Load: {"inflight":7,"qps":3}'], ["X-RateLimit-Used: 1e300"]]
         )
 
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply("200 OK", b"", *next(headers))
 
         async with backend(script) as server:
             servers = Servers(10, 1.0, 30.0)
             name, port = server.address.split(":")
-            servers.place(1, (name, int(port)), True)
+            servers.add_or_update(1, (name, int(port)), True)
             reply = await outcome(servers, 1, REQUEST)
-            assert (reply.usage, reply.load) == (85, b'{"inflight":7,"qps":3}')
+            assert (reply.usage_percent, reply.load_report) == (85, b'{"inflight":7,"qps":3}')
             reply = await outcome(servers, 1, REQUEST)
-            assert (reply.usage, reply.load) == (None, b"")
-            await until(lambda: server.connections == 1)
+            assert (reply.usage_percent, reply.load_report) == (None, b"")
+            await wait_until(lambda: server.connection_count == 1)
 
     run(test())
 
@@ -456,7 +456,7 @@
     """However attempts end, the module holds no request, count or connection that the sockets do not."""
 
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             match request.headers["req-id"].partition("-")[0]:
                 case "ok":
                     request.reply(body=b"ok")
@@ -465,71 +465,77 @@
                 case "declined":
                     request.reply("503 Service Unavailable", b"", DECLINED)
                 case "reset":
-                    request.reset()
+                    request.reset_connection()
                 case "spoilt":
                     request.writer.write(b"nonsense\r\n\r\n")
-                    await request.closed()
+                    await request.wait_closed()
                 case "short":
                     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
-                    await request.closed()
+                    await request.wait_closed()
                 case _:
-                    await request.closed()
-
-        async with backend(script) as server, agent() as watched:
-            hosts = host("a", server.address), host("b", server.address), host("c", unused_address())
-            async with limiter(*hosts, watched=watched) as rig:
-                await watched.watches.get()
+                    await request.wait_closed()
+
+        async with backend(script) as server, discovery_agent() as watched:
+            hosts = (
+                host_entry("a", server.address),
+                host_entry("b", server.address),
+                host_entry("c", unused_address()),
+            )
+            async with running_limiter(*hosts, agent=watched) as rig:
+                await watched.watch_queries.get()
                 kinds = ("ok", "error", "declined", "reset", "spoilt", "short", "silent")
                 made = []
                 for n, kind in enumerate(kinds * 6):
                     made.append(await rig.connect())
                     cls = ("read", "upload", "fix")[n % 3]
-                    made[-1].send(message(cls, f"{kind}-{n}", Req_Deadline="0.5"))
+                    made[-1].send(build_request(cls, f"{kind}-{n}", Req_Deadline="0.5"))
                 hung_up = [await rig.connect() for _ in range(5)]
                 for n, client in enumerate(hung_up):
-                    client.send(message("fix", f"silent-h{n}"))
-                await until(lambda: rig.limiter.open >= 5)
+                    client.send(build_request("fix", f"silent-h{n}"))
+                await wait_until(lambda: rig.limiter.open_request_count >= 5)
                 for client in hung_up:
                     client.close()
-                watched.tell(listing(2, host("d", server.address)))  # the others are gone in mid-flight
-                assert {(await client.answer()).code for client in made} <= {200, 429, 502}
+                watched.send_line(
+                    host_list(2, host_entry("d", server.address))
+                )  # the others are gone in mid-flight
+                assert {(await client.read_response()).status_code for client in made} <= {200, 429, 502}
                 gateway, sockets = rig.limiter._gateway, rig.limiter._servers
-                await until(lambda: not gateway.requests and not rig.limiter._requests)
-                await until(lambda: not sockets._connecting)
+                await wait_until(lambda: not gateway.requests and not rig.limiter._requests)
+                await wait_until(lambda: not sockets._connect_tasks)
                 slots = Counter(lane for _, lane in gateway.running)  # of work given up
                 assert gateway.count == [slots[0], slots[1]]
-                assert (rig.limiter.open, rig.limiter._names) == (0, set())
+                assert (rig.limiter.open_request_count, rig.limiter._open_client_request_ids) == (0, set())
                 assert all(customer.out == 0 for customer in gateway.customers.values())
                 assert [peer.waiting for peer in gateway.fleet.peers.values()] == [0]
                 sockets.close()
-                await until(lambda: sockets._open == 0)
+                await wait_until(lambda: sockets._open_connection_count == 0)
 
     run(test())
 
 
 async def free_before(server: Backend, rested: float, cls: str) -> list[int]:
     """The connections of two requests of a class, the second sent when the first's had rested so long."""
-    async with limiter(host("a", server.address)) as rig:
+    async with running_limiter(host_entry("a", server.address)) as rig:
         client = await rig.connect()
-        assert (await client.ask(message(cls, "one"))).body == b"own"
-        [kept] = next(iter(rig.limiter._servers._servers.values())).idle
+        assert (await client.request(build_request(cls, "one"))).body == b"own"
+        [kept] = next(iter(rig.limiter._servers._servers.values())).idle_connections
         kept.idle_since -= rested
-        assert (await client.ask(message(cls, "two"))).body == b"own"
-        return [request.connection for request in server.requests]
+        assert (await client.request(build_request(cls, "two"))).body == b"own"
+        return [request.connection_number for request in server.requests]
 
 
 @pytest.mark.parametrize(
     ("cls", "rested", "connections"),
     [
-        ("fix", servers_module.REUSE_S, [1, 2]),  # a reset could not be made good
-        ("read", servers_module.REUSE_S, [1, 1]),
+        ("fix", servers_module.SAFE_REUSE_IDLE_S, [1, 2]),  # a reset could not be made good
+        ("read", servers_module.SAFE_REUSE_IDLE_S, [1, 1]),
         ("read", 14.0, [1, 1]),
         ("read", 15.0, [1, 2]),  # half of what the settings say
     ],
 )
 def test_how_long_a_free_connection_stays_of_use(cls: str, rested: float, connections: list[int]) -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             request.reply(body=b"own")
 
         async with backend(script) as server:
@@ -540,32 +546,32 @@
 
 def test_a_free_connection_found_dead_shortens_the_stay_of_others_for_a_while() -> None:
     servers = Servers(10, 1.0, 30.0)
-    servers.died(0.0)  # broke under its first attempt: says nothing of free ones
-    assert servers._idle_s == 15.0
-    servers.died(8.0)
-    assert servers._idle_s == 4.0
-    servers.died(0.01)
-    assert servers._idle_s == servers_module.REUSE_S
+    servers.record_broken_connection(0.0)  # broke under its first attempt: says nothing of free ones
+    assert servers._max_idle_s == 15.0
+    servers.record_broken_connection(8.0)
+    assert servers._max_idle_s == 4.0
+    servers.record_broken_connection(0.01)
+    assert servers._max_idle_s == servers_module.SAFE_REUSE_IDLE_S
     for _ in range(4 * 60 * 10):  # ten minutes of sweeps
-        servers.sweep()
-    assert servers._idle_s == 15.0
+        servers.close_expired_connections()
+    assert servers._max_idle_s == 15.0
 
 
 def test_a_break_without_a_word_under_a_kept_connection_is_learnt() -> None:
     async def test() -> None:
-        async def script(request: Request) -> None:
+        async def script(request: ReceivedRequest) -> None:
             if request.headers["req-id"] == "two":
-                request.reset()
+                request.reset_connection()
             else:
                 request.reply(body=b"own")
 
-        async with backend(script) as server, limiter(host("a", server.address)) as rig:
+        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            assert (await client.ask(message("read", "one"))).body == b"own"
+            assert (await client.request(build_request("read", "one"))).body == b"own"
             sockets = rig.limiter._servers
-            [kept] = next(iter(sockets._servers.values())).idle
+            [kept] = next(iter(sockets._servers.values())).idle_connections
             kept.idle_since -= 2.0
-            await client.ask(message("read", "two"))
-            assert 1.0 <= sockets._idle_s < 2.0
+            await client.request(build_request("read", "two"))
+            assert 1.0 <= sockets._max_idle_s < 2.0
 
     run(test())
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -10,19 +10,19 @@
 from typing import Any
 
 import pytest
-from helpers import Rig, sends, server
+from helpers import GatewayFixture, make_server, send_actions
 from sockets import (
     SETTINGS,
-    Request,
-    agent,
+    ReceivedRequest,
     backend,
-    host,
-    limiter,
-    listing,
-    message,
+    build_request,
+    discovery_agent,
+    host_entry,
+    host_list,
     run,
-    until,
+    running_limiter,
     unused_address,
+    wait_until,
 )
 
 from ironstage.net import discovery
@@ -32,22 +32,22 @@
 
 
 def hosts(count: int) -> list[dict[str, Any]]:
-    return [host(f"s-{n:08x}", f"127.{n // 250 + 1}.{n % 250}.1:9000") for n in range(count)]
+    return [host_entry(f"s-{n:08x}", f"127.{n // 250 + 1}.{n % 250}.1:9000") for n in range(count)]
 
 
-def fed(raw: bytes, piece: int) -> tuple[list[bytes], discovery._Stream]:
+def fed(raw: bytes, piece: int) -> tuple[list[bytes], discovery._WatchStream]:
     """The lines that a stream gives when its answer comes in pieces, each a chunk of its own."""
     lines: list[bytes] = []
 
-    async def test() -> discovery._Stream:
-        stream = discovery._Stream(lambda line: lines.append(line) is None)
+    async def test() -> discovery._WatchStream:
+        stream = discovery._WatchStream(lambda line: lines.append(line) is None)
         stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for start in range(0, len(raw), piece):
             part = raw[start : start + piece]
             stream.data_received(b"%x\r\n%b\r\n" % (len(part), part))
         return stream
 
-    streams: list[discovery._Stream] = []
+    streams: list[discovery._WatchStream] = []
 
     async def keep() -> None:
         streams.append(await test())
@@ -66,47 +66,47 @@
         return bytes(raw)
 
     monkeypatch.setattr(discovery, "bytes", counted, raising=False)
-    whole = json.dumps(listing(2, *hosts(MOST))).encode()
-    change = json.dumps(listing(3, *hosts(1), whole=False)).encode()
+    whole = json.dumps(host_list(2, *hosts(MOST))).encode()
+    change = json.dumps(host_list(3, *hosts(1), whole=False)).encode()
     lines, stream = fed(whole + b"\n\n" + change + b"\n" + whole[:100], piece)
     assert [json.loads(line)["seq"] for line in lines if line.strip()] == [2, 3]
-    assert len(stream._held) == 100
+    assert len(stream._buffer) == 100
     assert len(whole) < copied < 2 * len(whole)
 
 
 def test_a_line_that_never_ends_ends_the_watch_and_fills_no_memory() -> None:
     tracemalloc.start()
     try:
-        lines, stream = fed(b"x" * (discovery.LONGEST_LINE + 2), 1 << 16)
+        lines, stream = fed(b"x" * (discovery.MAX_LINE_BYTES + 2), 1 << 16)
         peak = tracemalloc.get_traced_memory()[1]
     finally:
         tracemalloc.stop()
-    assert lines == [] and len(stream._held) > discovery.LONGEST_LINE
-    assert peak < 5 * discovery.LONGEST_LINE
+    assert lines == [] and len(stream._buffer) > discovery.MAX_LINE_BYTES
+    assert peak < 5 * discovery.MAX_LINE_BYTES
 
 
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_thousand_servers_on_the_wire(whole: bool) -> None:
     """By one list or by as many changes, all are known, and with all gone but one that one serves."""
 
-    async def echo(request: Request) -> None:
+    async def echo(request: ReceivedRequest) -> None:
         request.reply(body=request.headers["req-id"].encode())
 
     async def test() -> None:
-        async with backend(echo) as one, agent() as watched:
-            async with limiter(watched=watched) as rig:
-                await watched.watches.get()
+        async with backend(echo) as one, discovery_agent() as watched:
+            async with running_limiter(agent=watched) as rig:
+                await watched.watch_queries.get()
                 if whole:
-                    watched.tell(listing(MOST + 1, *hosts(MOST)))
+                    watched.send_line(host_list(MOST + 1, *hosts(MOST)))
                 else:
                     for n, each in enumerate(hosts(MOST)):
-                        watched.tell(listing(n + 2, each, whole=False))
-                await until(lambda: rig.watch.seq == MOST + 1)
-                assert len(rig.limiter._gateway.fleet.ready) == len(rig.limiter._numbers) == MOST
-                watched.tell(listing(MOST + 2, host("last", one.address)))
-                await until(lambda: rig.watch.seq == MOST + 2)
+                        watched.send_line(host_list(n + 2, each, whole=False))
+                await wait_until(lambda: rig.watch.seq == MOST + 1)
+                assert len(rig.limiter._gateway.fleet.ready) == len(rig.limiter._server_ids) == MOST
+                watched.send_line(host_list(MOST + 2, host_entry("last", one.address)))
+                await wait_until(lambda: rig.watch.seq == MOST + 2)
                 client = await rig.connect()
-                assert (await client.ask(message("fix", "only"))).code == 200
+                assert (await client.request(build_request("fix", "only"))).status_code == 200
                 assert len(rig.limiter._servers._servers) == len(rig.limiter._gateway.fleet.peers) == 1
 
     run(test())
@@ -114,7 +114,7 @@
 
 def steps(count: int) -> int:
     """How many lines the module runs for as many changes of one server each."""
-    rig, lines = Rig([], gateway_count=MOST), 0
+    rig, lines = GatewayFixture([], gateway_count=MOST), 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
         nonlocal lines
@@ -125,7 +125,7 @@
     sys.settrace(trace)
     try:
         for n in range(count):
-            rig.listed(1.0, server(n))
+            rig.apply_server_list(1.0, make_server(n))
     finally:
         sys.settrace(before)
     assert len(rig.gateway.fleet.ready) == count
@@ -137,12 +137,12 @@
 
 
 def test_each_of_a_thousand_servers_can_be_chosen() -> None:
-    rig = Rig([server(n) for n in range(MOST)], gateway_count=MOST)
+    rig = GatewayFixture([make_server(n) for n in range(MOST)], gateway_count=MOST)
     chosen = set()
     for n in range(16 * MOST):
-        for sent in sends(rig.arrive(100.0 * n, customer=n)):
+        for sent in send_actions(rig.submit_request(100.0 * n, customer_id=n)):
             chosen.add(sent.server_id)
-            rig.done(100.0 * n + 5.0, sent, "ok", elapsed=5.0)
+            rig.end_attempt(100.0 * n + 5.0, sent, "ok", elapsed_ms=5.0)
     assert len(chosen) == MOST
 
 
@@ -156,7 +156,7 @@
 
 def test_a_thousand_limiters_and_servers_in_half_of_the_memory(tmp_path: Path) -> None:
     file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, "known": listing(1, *hosts(MOST))}))
+    file.write_text(json.dumps({**GOOD, "known": host_list(1, *hosts(MOST))}))
     tracemalloc.start()
     try:
         made = load({"GW_CONFIG": str(file), "GW_LISTEN": unused_address()})
@@ -166,10 +166,12 @@
             terms = f"units=1,spread={MOST},first={MOST - 1}"
             async with (
                 backend() as one,
-                limiter(*made.known["hosts"], host("one", one.address), settings=GOOD["settings"]) as rig,
+                running_limiter(
+                    *made.known["hosts"], host_entry("one", one.address), settings=GOOD["settings"]
+                ) as rig,
             ):
                 assert len(rig.limiter._gateway.fleet.ready) == MOST + 1
-                checked = rig.clients.checker._call_terms(terms.encode())
+                checked = rig.clients.validator._parse_call_terms(terms.encode())
                 assert checked == (1.0, MOST)
 
         run(test())
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -5,7 +5,18 @@
 import asyncio
 from dataclasses import dataclass
 
-from sockets import SETTINGS, Backend, Client, Request, Rig, backend, host, limiter, message, run
+from sockets import (
+    SETTINGS,
+    Backend,
+    Client,
+    LimiterFixture,
+    ReceivedRequest,
+    backend,
+    build_request,
+    host_entry,
+    run,
+    running_limiter,
+)
 
 AIMED = {"services": [{**service, "aimMs": 400.0} for service in SETTINGS["services"]]}
 HELD = 6  # slow requests that are out at any time
@@ -17,18 +28,21 @@
     """A request that the server has, and its client."""
 
     client: Client
-    request: Request
+    request: ReceivedRequest
 
     async def end(self) -> None:
         self.request.reply(body=b"x")
-        assert (await self.client.answer()).code == 200
+        assert (await self.client.read_response()).status_code == 200
 
 
-async def ask(rig: Rig, server: Backend, ident: str) -> Out | None:
+async def ask(rig: LimiterFixture, server: Backend, ident: str) -> Out | None:
     """Send a request on; None where it is refused."""
     client = await rig.connect()
-    client.send(message(ident=ident))
-    answer, arrival = asyncio.create_task(client.answer()), asyncio.create_task(server.arrived.get())
+    client.send(build_request(request_id=ident))
+    answer, arrival = (
+        asyncio.create_task(client.read_response()),
+        asyncio.create_task(server.request_queue.get()),
+    )
     await asyncio.wait({answer, arrival}, return_when=asyncio.FIRST_COMPLETED)
     if answer.done():
         arrival.cancel()
@@ -42,9 +56,12 @@
     """Quick answers beside slow ones look like load; as many as are out all the time may stay out."""
 
     async def test() -> None:
-        async with backend() as server, limiter(host("a", server.address), settings=AIMED) as rig:
-            clock = [rig.limiter._now()]
-            rig.limiter._now = lambda: clock[0]  # type: ignore[method-assign]
+        async with (
+            backend() as server,
+            running_limiter(host_entry("a", server.address), settings=AIMED) as rig,
+        ):
+            clock = [rig.limiter._now_ms()]
+            rig.limiter._now_ms = lambda: clock[0]  # type: ignore[method-assign]
             held: list[Out | None] = []
             refused = 0
             for step in range(80):
--- a/tests/test_worth.py
+++ b/tests/test_worth.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from sockets import SETTINGS, Request, backend, host, limiter, message, run
+from sockets import SETTINGS, ReceivedRequest, backend, build_request, host_entry, run, running_limiter
 
 READ, UPLOAD, FIX = SETTINGS["services"]
 
@@ -15,15 +15,15 @@
 async def ask_for_all(read_points: float) -> list[int]:
     """Five fixes, then a read and a fix, from one customer that is far beyond its rate."""
 
-    async def serve(request: Request) -> None:
+    async def serve(request: ReceivedRequest) -> None:
         request.reply(body=b"x")
 
     async with backend(serve) as server:
-        async with limiter(host("a", server.address), settings=scarce(read_points)) as rig:
+        async with running_limiter(host_entry("a", server.address), settings=scarce(read_points)) as rig:
             client, codes = await rig.connect(), []
             for n, cls in enumerate(["fix", "fix", "fix", "fix", "fix", "read", "fix"]):
-                raw = message(cls, f"id-{n}", X_Call_Terms="units=1,spread=1,first=0")
-                codes.append((await client.ask(raw)).code)
+                raw = build_request(cls, f"id-{n}", X_Call_Terms="units=1,spread=1,first=0")
+                codes.append((await client.request(raw)).status_code)
             return codes
 
 
