--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -1,4 +1,4 @@
-"""The clients' side: connections, requests read and checked, answers written in their order."""
+"""The client side: accepts connections, parses and validates requests, writes responses in request order."""
 
 from __future__ import annotations
 
@@ -21,28 +21,30 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024
-HEAD_LIMIT = 16 * 1024
-PIPELINED = 4  # requests read ahead on a connection; further ones stay in the socket
-ACCEPTS = 64  # connections taken at a time, so that those that are open get their turn
-ACCEPT_AGAIN_S = 0.05  # after the descriptors ran out
-# For a request to come whole, the first one from the connecting on; more is given up.
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+MAX_PIPELINED_REQUESTS = 4  # read ahead on a connection; further ones stay in the socket's buffer
+ACCEPT_BATCH_SIZE = 64  # connections accepted in a row, before the event loop serves the open ones again
+ACCEPT_RETRY_DELAY_S = 0.05  # while the limit on connections is reached or the descriptors have run out
+# For reading a whole request, from its first byte; for the first request of a connection, from the connect.
+# A connection that takes longer is closed.
 REQUEST_READ_TIMEOUT_S = 2.0
-LINGER_S = 1.0  # how long a refused sender may go on before its connection is cut
-MIN_DRAIN_LISTEN_S = 0.45  # after SIGTERM new connections come for 0.4 s at the most
-QUIET_S = 0.1  # and the last of them shall be so old before nobody listens any more
-DRAIN_MOST_S = 0.6
-FIRST_REQUEST_TIMEOUT_S = 0.3  # what a new connection gets for its first request, also during a drain
-FLUSH_S = 0.2
-
-CUSTOMER = re.compile(rb"[0-9A-Fa-f]{16}")
-REQ_ID = re.compile(rb"[!-~]{1,128}")
-DECIMAL = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
-WHOLE = re.compile(rb"[0-9]{1,5}")
-FIRST_PART = re.compile(rb"/([^/?#]*)")
-NO_DESCRIPTORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
-# Where one of these comes twice and differs, another reader may go by the other one.
-SINGLE = frozenset(
+LINGER_TIMEOUT_S = 1.0  # how long the sender of a rejected request may go on before its connection is aborted
+MIN_DRAIN_LISTEN_S = 0.45  # new connections arrive for up to 0.4 s after SIGTERM
+LISTEN_QUIET_PERIOD_S = 0.1  # a drain stops listening only this long after the last new connection
+MAX_DRAIN_LISTEN_S = 0.6
+FIRST_REQUEST_TIMEOUT_S = 0.3  # how long a new connection may take to send its first request, also in a drain
+FINAL_FLUSH_TIMEOUT_S = 0.2  # for writing what is buffered, after all connections were told to close
+
+CUSTOMER_ID_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
+INTEGER_PATTERN = re.compile(rb"[0-9]{1,5}")
+FIRST_PATH_SEGMENT_PATTERN = re.compile(rb"/([^/?#]*)")
+RESOURCE_EXHAUSTION_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+# A request that repeats one of these headers with a different value is rejected, because the limiter and
+# another reader of the request could each use a different one.
+SINGLE_VALUE_HEADERS = frozenset(
     [
         b"content-length",
         b"idempotency-key",
@@ -55,371 +57,438 @@
         b"x-tier",
     ]
 )
-REASONS = {status.value: status.phrase for status in HTTPStatus}
+REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
 
 class BadRequestError(Exception):
-    """What is wrong with a request that is not taken on."""
+    """A request failed validation; the message is the body of the response with `status_code`."""
 
-    def __init__(self, code: int, what: str) -> None:
-        super().__init__(what)
-        self.code = code
+    def __init__(self, status_code: int, message: str) -> None:
+        super().__init__(message)
+        self.status_code = status_code
 
 
 class HttpRequest:
-    """One request of a client and, once it is there, its answer."""
+    """A client's request and, once it is known, its response: status code, header lines and body.
 
-    __slots__ = ("_connection", "body", "forwarded_head", "ident", "keep", "reply")
+    `keep_alive` tells whether the connection may stay open after the response. `request_id` is the
+    limiter's number for the request; it stays 0 for one that the limiter was not given.
+    """
+
+    __slots__ = ("_connection", "body", "forwarded_head", "keep_alive", "request_id", "response")
 
     def __init__(
-        self, connection: _Client, keep: bool, forwarded_head: bytes = b"", body: bytes = b""
+        self,
+        connection: _ClientConnection,
+        keep_alive: bool,
+        forwarded_head: bytes = b"",
+        body: bytes = b"",
     ) -> None:
         self._connection = connection
-        self.keep = keep
+        self.keep_alive = keep_alive
         self.forwarded_head = forwarded_head
         self.body = body
-        self.ident = 0
-        self.reply: tuple[int, bytes, bytes] | None = None
+        self.request_id = 0
+        self.response: tuple[int, bytes, bytes] | None = None
 
     def answer(
         self, status_code: int, body: bytes = b"", content_type: bytes = b"", retry_after_s: float = 0.0
     ) -> None:
-        if self.reply is None:
+        """Set the response, which is written once all earlier ones are; a second response is ignored."""
+        if self.response is None:
             headers = b"Content-Type: " + content_type + b"\r\n" if content_type else b""
             if retry_after_s > 0:
                 headers += f"Retry-After: {retry_after_s:.3f}\r\n".encode()
-            self.reply = status_code, headers, body
-            self._connection.flush()
+            self.response = status_code, headers, body
+            self._connection.flush_responses()
 
 
 class RequestValidator:
-    """The form of a request, by the settings; a request that has another one counts nowhere."""
+    """Validates requests against the settings.
+
+    A request that fails is answered at once. The limiter never sees it, so it counts against no quota.
+    """
 
     def __init__(self, settings: Settings) -> None:
+        # Keyed by the names of the classes and plans; `n` is the position in the settings.
         self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
         self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
-        self._gateways = settings.gateway_count
+        self._gateway_count = settings.gateway_count
         self._most_units = settings.most_units or math.inf
 
-    def terms(self, method: bytes, url: bytes, headers: dict[bytes, bytes], body: bool) -> RequestMetadata:
-        path = FIRST_PART.match(url)
+    def validate(
+        self, method: bytes, url: bytes, headers: dict[bytes, bytes], has_body: bool
+    ) -> RequestMetadata:
+        """Return the metadata of a request, or raise `BadRequestError`; header names are in lower case."""
+        path = FIRST_PATH_SEGMENT_PATTERN.match(url)
         if path is None or path[1] not in self._classes:
             raise BadRequestError(404, "no such class in the path")
         if headers.get(b"req-kind") != path[1]:
             raise BadRequestError(400, "Req-Kind is not the class in the path")
-        cls, effect = self._classes[path[1]]
-        self._method(method, effect, headers, body)
-        name = headers.get(b"req-id", b"")
-        if not REQ_ID.fullmatch(name):
+        class_index, retry_safety = self._classes[path[1]]
+        self._check_method(method, retry_safety, headers, has_body)
+        client_request_id = headers.get(b"req-id", b"")
+        if not REQUEST_ID_PATTERN.fullmatch(client_request_id):
             raise BadRequestError(400, "Req-Id is missing or wrong")
-        plan, key = self._plans.get(headers.get(b"x-tier", b"")), headers.get(b"x-api-key", b"")
-        if plan is None:
+        plan_index, api_key = self._plans.get(headers.get(b"x-tier", b"")), headers.get(b"x-api-key", b"")
+        if plan_index is None:
             raise BadRequestError(400, "X-Tier is missing or names no plan")
-        if not CUSTOMER.fullmatch(key) or (customer := int(key, 16)) >= 1 << 33:
+        if not CUSTOMER_ID_PATTERN.fullmatch(api_key) or (customer_id := int(api_key, 16)) >= 1 << 33:
             raise BadRequestError(400, "X-Api-Key is missing or names no customer")
-        wait = _number(headers.get(b"req-deadline", b""), "Req-Deadline")
-        units, doors = self._parse_call_terms(headers.get(b"x-call-terms", b""))
-        return RequestMetadata(name, cls, plan, customer, units, doors, wait)
+        client_timeout_s = _parse_positive_number(headers.get(b"req-deadline", b""), "Req-Deadline")
+        units, customer_gateway_count = self._parse_call_terms(headers.get(b"x-call-terms", b""))
+        return RequestMetadata(
+            client_request_id,
+            class_index,
+            plan_index,
+            customer_id,
+            units,
+            customer_gateway_count,
+            client_timeout_s,
+        )
 
-    def _method(self, method: bytes, effect: RetrySafety, headers: dict[bytes, bytes], body: bool) -> None:
-        if method != (b"GET" if effect is RetrySafety.IDEMPOTENT else b"POST"):
+    def _check_method(
+        self, method: bytes, retry_safety: RetrySafety, headers: dict[bytes, bytes], has_body: bool
+    ) -> None:
+        """Check the method, the body and the Idempotency-Key against the class's retry safety."""
+        if method != (b"GET" if retry_safety is RetrySafety.IDEMPOTENT else b"POST"):
             raise BadRequestError(405, "not the method of this class")
-        if effect is RetrySafety.IDEMPOTENT and body:
+        if retry_safety is RetrySafety.IDEMPOTENT and has_body:
             raise BadRequestError(400, "a GET with a body")
-        if (effect is RetrySafety.DEDUPLICATED) != bool(headers.get(b"idempotency-key")):
+        if (retry_safety is RetrySafety.DEDUPLICATED) != bool(headers.get(b"idempotency-key")):
             raise BadRequestError(400, "Idempotency-Key is missing, or not of this class")
 
     def _parse_call_terms(self, raw: bytes) -> tuple[float, int]:
-        """The units, and how many limiters the customer comes through.
+        """Return the request's units and the number of gateways that its customer's requests are spread over.
 
-        What is out of range is turned down here: in the module it would bind the customer it names.
+        Values out of range are rejected here: the decision module would apply them to the customer that the
+        request names.
         """
         pairs = [part.strip().partition(b"=")[::2] for part in raw.split(b",")]
-        told = dict(pairs)
-        if len(told) < len(pairs):
+        terms = dict(pairs)
+        if len(terms) < len(pairs):
             raise BadRequestError(400, "X-Call-Terms tells something twice")
-        units = _number(told.get(b"units", b""), "units in X-Call-Terms")
-        spread, first = told.get(b"spread", b""), told.get(b"first", b"")
+        units = _parse_positive_number(terms.get(b"units", b""), "units in X-Call-Terms")
+        spread, first = terms.get(b"spread", b""), terms.get(b"first", b"")
         if units > self._most_units:
             raise BadRequestError(400, "more units than a request can take")
-        if not (WHOLE.fullmatch(spread) and WHOLE.fullmatch(first)):
+        if not (INTEGER_PATTERN.fullmatch(spread) and INTEGER_PATTERN.fullmatch(first)):
             raise BadRequestError(400, "spread or first in X-Call-Terms is missing or wrong")
-        if not (0 < int(spread) <= self._gateways and int(first) < self._gateways):
+        if not (0 < int(spread) <= self._gateway_count and int(first) < self._gateway_count):
             raise BadRequestError(400, "spread or first in X-Call-Terms is out of range")
         return units, int(spread)
 
 
-def _number(raw: bytes, name: str) -> float:
-    value = float(raw) if DECIMAL.fullmatch(raw) else 0.0
+def _parse_positive_number(raw: bytes, name: str) -> float:
+    value = float(raw) if DECIMAL_PATTERN.fullmatch(raw) else 0.0
     if value <= 0:
         raise BadRequestError(400, f"{name} is not a number above 0")
     return value
 
 
-class _Client(asyncio.Protocol):
-    """One connection of a client."""
+class _ClientConnection(asyncio.Protocol):
+    """A client's connection: parses its requests and writes their responses in order.
+
+    Points in time are seconds of `time.monotonic`.
+    """
 
     def __init__(self, clients: Clients) -> None:
         self._clients = clients
         self._parser = httptools.HttpRequestParser(self)
         self._transport: asyncio.Transport | None = None
-        self._calls: deque[HttpRequest] = deque()
-        self._reading = False  # bytes are being parsed
-        self._rejected = False  # its sender may still be at it
-        self._deaf = False  # no further request is read from it
-        self._paused = False
-        self._stuck = False  # it does not read its answers
+        self._unanswered_requests: deque[HttpRequest] = deque()
+        self._parsing = False  # inside data_received; responses wait until its end
+        self._needs_lingering_close = False  # the sender of a rejected request may still be sending it
+        self._input_closed = False  # further input is ignored, no request is read from it
+        self._reading_paused = False
+        self._writing_paused = False  # the client does not read its responses: the write buffer is full
         self._url = b""
         self._headers: dict[bytes, bytes] = {}
-        self._body: list[bytes] = []
-        self._size = 0
-        self._headed = False
-        self.request_started_s: float | None = None  # since when a request is coming in
+        self._body_parts: list[bytes] = []
+        self._received_bytes = 0  # of the head until it is complete, then of the body
+        self._head_complete = False
+        self.request_started_s: float | None = None  # start of the request that is being received
         self.connected_s = monotonic()
-        self.served = False
-        self.taken = False  # a whole request has come
+        self.has_sent_response = False
+        self.has_received_request = False
 
     # --- Connection ----------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
         self._clients.idle_connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._deaf = True
-        del self._parser  # it holds this object, too: together they would wait for the collector
-        self._clients.gone(self)
-        calls, self._calls = self._calls, deque()
-        self._drop_body()
-        for call in calls:
-            self._clients.release(len(call.body))
-            if call.reply is None:
-                self._clients.limiter.abandon(call.ident)
+        self._input_closed = True
+        # The parser refers back to this object; that cycle would keep both until a garbage collection.
+        del self._parser
+        self._clients.remove_connection(self)
+        requests, self._unanswered_requests = self._unanswered_requests, deque()
+        self._drop_partial_body()
+        for request in requests:
+            self._clients.release_body_bytes(len(request.body))
+            if request.response is None:
+                self._clients.limiter.abandon(request.request_id)
 
     def pause_writing(self) -> None:
-        self._stuck = True
-        self._pace()
+        self._writing_paused = True
+        self._update_reading()
 
     def resume_writing(self) -> None:
-        self._stuck = False
-        self._pace()
-
-    def _pace(self) -> None:
-        """Read on only where what was read before moves on: else one client could fill the memory."""
-        full = self._stuck or len(self._calls) >= PIPELINED
-        if self._transport and full != self._paused and not self._transport.is_closing():
-            self._paused = full
-            if full:
+        self._writing_paused = False
+        self._update_reading()
+
+    def _update_reading(self) -> None:
+        """Pause or resume reading.
+
+        Reading is paused while too many requests are unanswered or the client does not read its responses, as
+        one client could fill the memory otherwise.
+        """
+        must_pause = self._writing_paused or len(self._unanswered_requests) >= MAX_PIPELINED_REQUESTS
+        if self._transport and must_pause != self._reading_paused and not self._transport.is_closing():
+            self._reading_paused = must_pause
+            if must_pause:
                 self._transport.pause_reading()
             else:
                 self._transport.resume_reading()
 
     def close(self) -> None:
-        self._deaf = True
+        """Read no further request, and close once what is buffered is written."""
+        self._input_closed = True
         if self._transport:
             self._transport.close()
 
-    def cut(self) -> None:
-        """Close without waiting for a sender that is still at it, once what is due is answered."""
-        if self._transport and not self._calls:
+    def close_without_linger(self) -> None:
+        """Close without the lingering period that `reject` leaves, unless responses are still due."""
+        if self._transport and not self._unanswered_requests:
             self._transport.close()
 
-    def due(self, since: float) -> bool:
-        """Whether a request may be on its way: the connection is new, or its bytes have begun to come."""
-        return (not self.served and self.connected_s > since) or (
-            self.request_started_s is not None and self.request_started_s > since
+    def expects_request(self, since_s: float) -> bool:
+        """Whether a request may still arrive in full.
+
+        True if the connection was opened after `since_s` and has sent no response yet, or if a request that
+        began to arrive after `since_s` is being received.
+        """
+        return (not self.has_sent_response and self.connected_s > since_s) or (
+            self.request_started_s is not None and self.request_started_s > since_s
         )
 
-    def stalled(self, limit: float) -> bool:
-        """Whether a request, or any word on a new connection, has been awaited since before the limit."""
-        since = self.request_started_s if self.taken else self.connected_s
-        return since is not None and since < limit and not self._deaf and not self._paused
+    def is_stalled(self, cutoff_s: float) -> bool:
+        """Whether a request has been arriving, or the first one has been awaited, since before `cutoff_s`.
+
+        False while the connection reads no input.
+        """
+        since_s = self.request_started_s if self.has_received_request else self.connected_s
+        return (
+            since_s is not None and since_s < cutoff_s and not self._input_closed and not self._reading_paused
+        )
 
     @property
     def idle(self) -> bool:
-        return not self._calls and self.request_started_s is None
+        """Whether no request is being received or waits for its response."""
+        return not self._unanswered_requests and self.request_started_s is None
 
-    # --- Reading -------------------------------------------------------------------------------
+    # --- Receiving -----------------------------------------------------------------------------
     def data_received(self, data: bytes) -> None:
-        # In pieces, so that a head's size is known to one piece however much is read at once. Nothing is
-        # answered between them: a drain closes behind the last answer, and a request may follow in here.
-        self._reading = True
-        for start in range(0, len(data), HEAD_LIMIT):
-            self._feed(data[start : start + HEAD_LIMIT])
-        self._reading = False
-        self.flush()
-
-    def _feed(self, data: bytes) -> None:
-        if self._deaf:
+        # The data is parsed in pieces, so that the size of a head is known to within one piece, however much
+        # arrives at once. No response is written between them: a drain closes the connection after the last
+        # response, and the rest of the data may hold another request.
+        self._parsing = True
+        for start in range(0, len(data), MAX_HEAD_BYTES):
+            self._feed_parser(data[start : start + MAX_HEAD_BYTES])
+        self._parsing = False
+        self.flush_responses()
+
+    def _feed_parser(self, data: bytes) -> None:
+        if self._input_closed:
             return
-        self._size += 0 if self._headed else len(data)
+        self._received_bytes += 0 if self._head_complete else len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            self._deaf = True  # the request itself was taken as any other
+            self._input_closed = True  # the request itself was handled as any other
         except httptools.HttpParserError:
             self.reject(400)
-        if not self._headed and self._size > HEAD_LIMIT:
+        if not self._head_complete and self._received_bytes > MAX_HEAD_BYTES:
             self.reject(431)
 
     def on_message_begin(self) -> None:
-        # Not with the first bytes: an empty line behind a request is the start of none.
+        # Not set with the first byte received: an empty line after a request does not start another one.
         self.request_started_s = monotonic()
         self._clients.idle_connections.pop(self, None)
         self._clients.receiving_connections[self] = None
-        self._url, self._headers, self._body, self._headed = b"", {}, [], False
+        self._url, self._headers, self._body_parts, self._head_complete = b"", {}, [], False
 
     def on_url(self, url: bytes) -> None:
         self._url += url
-        self._bound(len(self._url))
+        self._enforce_head_limits(len(self._url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
         name, value = name.lower(), value.strip()
-        if name in SINGLE and self._headers.get(name, value) != value:
+        if name in SINGLE_VALUE_HEADERS and self._headers.get(name, value) != value:
             self.reject(400)
         self._headers[name] = value
-        self._bound(len(name) + len(value))
+        self._enforce_head_limits(len(name) + len(value))
 
-    def _bound(self, size: int) -> None:
-        if size > HEAD_LIMIT or len(self._headers) > 100:
+    def _enforce_head_limits(self, field_bytes: int) -> None:
+        """Reject the request if its URL or a header is too large, or if it has too many headers."""
+        if field_bytes > MAX_HEAD_BYTES or len(self._headers) > 100:
             self.reject(431)
 
     def on_headers_complete(self) -> None:
-        self._headed, self._size = True, 0
+        self._head_complete, self._received_bytes = True, 0
         length = self._headers.get(b"content-length", b"0")
         if (coding := self._headers.get(b"transfer-encoding")) is not None and (
             b"content-length" in self._headers or coding.lower() != b"chunked"
         ):
-            self.reject(400)  # its body may hide another request
-        elif length.isdigit() and int(length[:9]) > BODY_LIMIT:
+            self.reject(400)  # request smuggling: the body may hide another request
+        elif length.isdigit() and int(length[:9]) > MAX_BODY_BYTES:
             self.reject(413)
         elif (
             self._headers.get(b"expect", b"").lower() == b"100-continue"
-            and not self._calls
+            and not self._unanswered_requests
             and self._transport
         ):
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def on_body(self, body: bytes) -> None:
-        if self._deaf:
+        if self._input_closed:
             return
-        self._size += len(body)
-        if self._size > BODY_LIMIT:
+        self._received_bytes += len(body)
+        if self._received_bytes > MAX_BODY_BYTES:
             self.reject(413)
-        elif self._clients.hold(len(body)):
-            self._body.append(body)
+        elif self._clients.reserve_body_bytes(len(body)):
+            self._body_parts.append(body)
         else:
-            self.reject(503)  # many at once could pass the limit on memory
+            self.reject(503)  # the bodies of many connections together could exceed the memory limit
 
     def on_message_complete(self) -> None:
-        self.request_started_s, self._headed, self._size = None, False, 0
-        self.taken = True
+        self.request_started_s, self._head_complete, self._received_bytes = None, False, 0
+        self.has_received_request = True
         self._clients.receiving_connections.pop(self, None)
-        if self._deaf:
+        if self._input_closed:
             return
-        # Behind a request for another protocol no further one of ours can be told.
-        keep = self._parser.should_keep_alive() and not self._parser.should_upgrade()
-        self._deaf = not keep
-        self._take(keep)
-        self._pace()
-
-    def _take(self, keep: bool) -> None:
-        """Take a whole request on, or answer at once that it is none."""
-        method, url, body = self._parser.get_method(), self._url, b"".join(self._body)
-        self._body = []
-        self._clients.release(len(body))
+        # After an upgrade to another protocol no further HTTP request can be recognised.
+        keep_alive = self._parser.should_keep_alive() and not self._parser.should_upgrade()
+        self._input_closed = not keep_alive
+        self._handle_request(keep_alive)
+        self._update_reading()
+
+    def _handle_request(self, keep_alive: bool) -> None:
+        """Submit a complete request to the limiter, or answer it here: a readiness check or a bad request."""
+        method, url, body = self._parser.get_method(), self._url, b"".join(self._body_parts)
+        self._body_parts = []
+        self._clients.release_body_bytes(len(body))
         if url.partition(b"?")[0] == b"/up":
-            self._reply(keep, 200 if self._clients.ready else 503)
+            self._respond(keep_alive, 200 if self._clients.ready else 503)
             return
         try:
-            terms = self._clients.validator.terms(method, url, self._headers, bool(body))
+            metadata = self._clients.validator.validate(method, url, self._headers, bool(body))
         except BadRequestError as error:
-            self._reply(keep, error.code, str(error))
+            self._respond(keep_alive, error.status_code, str(error))
             return
         head = [method, b" ", url, b" HTTP/1.1\r\nHost: backend.local\r\nReq-Id: ", self._headers[b"req-id"]]
-        if key := self._headers.get(b"idempotency-key"):
-            head += [b"\r\nIdempotency-Key: ", key]
-        if kind := self._headers.get(b"content-type"):
-            head += [b"\r\nContent-Type: ", kind]
+        if idempotency_key := self._headers.get(b"idempotency-key"):
+            head += [b"\r\nIdempotency-Key: ", idempotency_key]
+        if content_type := self._headers.get(b"content-type"):
+            head += [b"\r\nContent-Type: ", content_type]
         if method == b"POST":
             head += [b"\r\nContent-Length: ", str(len(body)).encode()]
-        self._clients.hold(len(body))  # what was just released, until it is answered
-        call = HttpRequest(self, keep, b"".join([*head, b"\r\n"]), body)
-        self._calls.append(call)
-        call.ident = self._clients.limiter.submit(call, terms)
-
-    def _reply(self, keep: bool, code: int, text: str = "") -> None:
-        call = HttpRequest(self, keep)
-        self._calls.append(call)
-        call.answer(code, text.encode(), b"text/plain" if text else b"")
-
-    def _drop_body(self) -> None:
-        self._clients.release(sum(map(len, self._body)))
-        self._body = []
-
-    def reject(self, code: int) -> None:
-        """Answer what can't be read to its end, behind the answers that are due before it."""
-        if not self._deaf:
-            self._deaf = self._rejected = True
+        # Reserves again what was released above, until the request is answered.
+        self._clients.reserve_body_bytes(len(body))
+        request = HttpRequest(self, keep_alive, b"".join([*head, b"\r\n"]), body)
+        self._unanswered_requests.append(request)
+        request.request_id = self._clients.limiter.submit(request, metadata)
+
+    def _respond(self, keep_alive: bool, status_code: int, text: str = "") -> None:
+        """Answer a request that the limiter is not given."""
+        request = HttpRequest(self, keep_alive)
+        self._unanswered_requests.append(request)
+        request.answer(status_code, text.encode(), b"text/plain" if text else b"")
+
+    def _drop_partial_body(self) -> None:
+        self._clients.release_body_bytes(sum(map(len, self._body_parts)))
+        self._body_parts = []
+
+    def reject(self, status_code: int) -> None:
+        """Answer a request that can't be read to its end, after the responses due before it; then close."""
+        if not self._input_closed:
+            self._input_closed = self._needs_lingering_close = True
             self._clients.receiving_connections.pop(self, None)
-            self._drop_body()
-            self._reply(False, code)
+            self._drop_partial_body()
+            self._respond(False, status_code)
 
-    # --- Answering -----------------------------------------------------------------------------
-    def flush(self) -> None:
-        """Write the answers that are there, in the order of their requests, in one piece."""
-        if self._transport is None or self._transport.is_closing() or self._reading:
+    # --- Responding ----------------------------------------------------------------------------
+    def flush_responses(self) -> None:
+        """Write the responses that are ready and next in the order of the requests, in a single write."""
+        if self._transport is None or self._transport.is_closing() or self._parsing:
             return
-        parts, last = [], False
-        while self._calls and (reply := self._calls[0].reply):
-            call = self._calls.popleft()
-            self._clients.release(len(call.body))
-            code, headers, body = reply
-            last = not self._calls and (not call.keep or self._clients.draining)
+        parts, is_last = [], False
+        while self._unanswered_requests and (response := self._unanswered_requests[0].response):
+            request = self._unanswered_requests.popleft()
+            self._clients.release_body_bytes(len(request.body))
+            status_code, headers, body = response
+            is_last = not self._unanswered_requests and (not request.keep_alive or self._clients.draining)
             parts += [
-                f"HTTP/1.1 {code} {REASONS[code]}\r\nContent-Length: {len(body)}\r\n".encode(),
+                f"HTTP/1.1 {status_code} {REASON_PHRASES[status_code]}\r\n"
+                f"Content-Length: {len(body)}\r\n".encode(),
                 headers,
-                b"Connection: close\r\n\r\n" if last else b"\r\n",
+                b"Connection: close\r\n\r\n" if is_last else b"\r\n",
                 body,
             ]
         if parts:
-            self.served = True
+            self.has_sent_response = True
             self._transport.write(b"".join(parts))
-            self._pace()
-        if last:
-            self._end()
-        elif self.idle and not self._deaf:
+            self._update_reading()
+        if is_last:
+            self._close_after_last_response()
+        elif self.idle and not self._input_closed:
             self._clients.idle_connections[self] = None
 
-    def _end(self) -> None:
-        """Close behind the last answer. Cut off at once, a sender still at it could lose that answer."""
-        self._deaf = True
+    def _close_after_last_response(self) -> None:
+        """Close the connection, at once or by a lingering close.
+
+        If the client is still sending, closing at once would reset the connection, and the client could lose
+        the last response.
+        """
+        self._input_closed = True
         if self._transport is None:
             return
-        if not self._rejected:
+        if not self._needs_lingering_close:
             self._transport.close()
         else:
             self.request_started_s = None
             self._transport.write_eof()
-            asyncio.get_running_loop().call_later(LINGER_S, self._transport.abort)
+            asyncio.get_running_loop().call_later(LINGER_TIMEOUT_S, self._transport.abort)
 
 
 class Clients:
-    """The listener and the connections it took; they are bounded and end in an orderly drain."""
+    """The listener and the client connections, with limits on both and a graceful drain.
+
+    At most `max_connection_count` connections are open, and at most `max_buffered_body_bytes` of request
+    bodies are buffered.
+    """
 
     def __init__(
-        self, limiter: Limiter, settings: Settings, address: Address, most: int, most_bytes: int
+        self,
+        limiter: Limiter,
+        settings: Settings,
+        address: Address,
+        max_connection_count: int,
+        max_buffered_body_bytes: int,
     ) -> None:
         self.limiter = limiter
         self.validator = RequestValidator(settings)
         self.draining = False
-        self.idle_connections: dict[_Client, None] = {}  # between requests, the longest idle first
-        self.receiving_connections: dict[_Client, None] = {}  # with a request coming in, the longest so first
-        self._open_connections: set[_Client] = set()
-        self._joining: set[asyncio.Task[None]] = set()
-        self._max_connection_count = most
-        self._most_bytes = most_bytes
-        self._buffered_body_bytes = 0  # of bodies that come in or wait for their answer
-        self._last_accept = 0.0
+        # Connections between requests, the one that has been idle for longest first.
+        self.idle_connections: dict[_ClientConnection, None] = {}
+        # Connections in the middle of receiving a request, the one whose request started first in front.
+        self.receiving_connections: dict[_ClientConnection, None] = {}
+        self._open_connections: set[_ClientConnection] = set()
+        self._connection_start_tasks: set[asyncio.Task[None]] = set()
+        self._max_connection_count = max_connection_count
+        self._max_buffered_body_bytes = max_buffered_body_bytes
+        self._buffered_body_bytes = 0  # of requests that are being received or wait for their response
+        self._last_accept_s = 0.0
         self._accepting = False
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self._listener = socket.create_server(address, family=family, backlog=1024)
@@ -427,135 +496,155 @@
 
     @property
     def address(self) -> Address:
+        """The host and port that the listener is bound to."""
         host, port, *_ = self._listener.getsockname()
         return host, port
 
     @property
     def ready(self) -> bool:
+        """Whether requests can be sent on to a server and no drain has begun."""
         return self.limiter.ready and not self.draining
 
     def listen(self) -> None:
+        """Start to accept connections, or resume after a pause; without effect on a closed listener."""
         if not self._accepting and self._listener.fileno() >= 0:
             self._accepting = True
-            asyncio.get_running_loop().add_reader(self._listener, self._accept)
+            asyncio.get_running_loop().add_reader(self._listener, self._accept_connections)
 
-    def _pause(self) -> None:
+    def _pause_accepting(self) -> None:
         if self._accepting:
             self._accepting = False
             asyncio.get_running_loop().remove_reader(self._listener)
 
-    def _rest(self, seconds: float) -> None:
-        """Leave new connections in the backlog for a while; a busy loop over them would help nobody."""
-        self._pause()
-        asyncio.get_running_loop().call_later(seconds, self.listen)
+    def _pause_accepting_for(self, delay_s: float) -> None:
+        """Leave new connections in the backlog for a while, rather than retry in a busy loop."""
+        self._pause_accepting()
+        asyncio.get_running_loop().call_later(delay_s, self.listen)
 
     def stop_listening(self) -> None:
-        self._pause()
+        """Close the listener; open connections stay."""
+        self._pause_accepting()
         self._listener.close()
 
-    def _accept(self) -> None:
-        for _ in range(ACCEPTS):
-            if len(self._open_connections) >= self._max_connection_count and not self._make_room():
-                self._rest(ACCEPT_AGAIN_S)
+    def _accept_connections(self) -> None:
+        for _ in range(ACCEPT_BATCH_SIZE):
+            if len(self._open_connections) >= self._max_connection_count and not self._evict_connection():
+                self._pause_accepting_for(ACCEPT_RETRY_DELAY_S)
                 return
             try:
                 sock, _ = self._listener.accept()
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                if error.errno not in NO_DESCRIPTORS:
+                if error.errno not in RESOURCE_EXHAUSTION_ERRNOS:
                     raise
                 log.warning("no descriptor for a new connection: %s", error)
-                self._make_room()
-                self._rest(ACCEPT_AGAIN_S)
+                self._evict_connection()
+                self._pause_accepting_for(ACCEPT_RETRY_DELAY_S)
                 return
-            self._last_accept = monotonic()
+            self._last_accept_s = monotonic()
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-            client = _Client(self)
-            self._open_connections.add(client)
-            task = asyncio.get_running_loop().create_task(self._join(client, sock))
-            self._joining.add(task)
-            task.add_done_callback(self._joining.discard)
-
-    async def _join(self, client: _Client, sock: socket.socket) -> None:
+            connection = _ClientConnection(self)
+            self._open_connections.add(connection)
+            task = asyncio.get_running_loop().create_task(self._start_connection(connection, sock))
+            self._connection_start_tasks.add(task)
+            task.add_done_callback(self._connection_start_tasks.discard)
+
+    async def _start_connection(self, connection: _ClientConnection, sock: socket.socket) -> None:
+        """Attach an accepted socket to its connection."""
         try:
-            await asyncio.get_running_loop().connect_accepted_socket(lambda: client, sock)
+            await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
         except OSError as error:
-            log.warning("a connection broke at its start: %s", error)
+            log.warning("an accepted client connection failed before it could be served: %s", error)
             sock.close()
-            self.gone(client)
-
-    def _make_room(self) -> bool:
-        """Close the connection that has been between requests for longest; new ones get their turn."""
-        limit = monotonic() - FIRST_REQUEST_TIMEOUT_S
-        client = next((c for c in self.idle_connections if c.served or c.connected_s < limit), None)
-        if client is None:
-            return self._end_slowest(limit)
-        del self.idle_connections[client]
-        client.close()
+            self.remove_connection(connection)
+
+    def _evict_connection(self) -> bool:
+        """Close the connection that has been idle for longest, or else the one with the slowest request.
+
+        A new connection is spared for the `FIRST_REQUEST_TIMEOUT_S` that it has for its first request. Return
+        whether a connection was closed.
+        """
+        cutoff_s = monotonic() - FIRST_REQUEST_TIMEOUT_S
+        connection = next(
+            (c for c in self.idle_connections if c.has_sent_response or c.connected_s < cutoff_s), None
+        )
+        if connection is None:
+            return self._time_out_slowest_request(cutoff_s)
+        del self.idle_connections[connection]
+        connection.close()
         return True
 
-    def _end_slowest(self, limit: float) -> bool:
-        """End the request that has been coming in for longest: a crowd of them must not keep others out."""
-        client = next((c for c in self.receiving_connections if c.stalled(limit)), None)
-        if client is None:
+    def _time_out_slowest_request(self, cutoff_s: float) -> bool:
+        """End the request that has been arriving for longest, if it started before `cutoff_s`.
+
+        Many clients that send slowly must not keep others out. Return whether a request was ended.
+        """
+        connection = next((c for c in self.receiving_connections if c.is_stalled(cutoff_s)), None)
+        if connection is None:
             return False
-        client.reject(408)
-        client.cut()
+        connection.reject(408)
+        connection.close_without_linger()
         return True
 
-    def hold(self, size: int) -> bool:
-        """Account for so many bytes of a body; False where the memory has no room for them."""
-        if self._buffered_body_bytes + size > self._most_bytes:
+    def reserve_body_bytes(self, size_bytes: int) -> bool:
+        """Count part of a request body as buffered; return False if that would exceed the memory limit."""
+        if self._buffered_body_bytes + size_bytes > self._max_buffered_body_bytes:
             return False
-        self._buffered_body_bytes += size
+        self._buffered_body_bytes += size_bytes
         return True
 
-    def release(self, size: int) -> None:
-        self._buffered_body_bytes -= size
+    def release_body_bytes(self, size_bytes: int) -> None:
+        """Count part of a request body as no longer buffered."""
+        self._buffered_body_bytes -= size_bytes
 
-    def gone(self, client: _Client) -> None:
-        self._open_connections.discard(client)
-        self.idle_connections.pop(client, None)
-        self.receiving_connections.pop(client, None)
+    def remove_connection(self, connection: _ClientConnection) -> None:
+        """Remove a connection that has ended from the tables."""
+        self._open_connections.discard(connection)
+        self.idle_connections.pop(connection, None)
+        self.receiving_connections.pop(connection, None)
 
     def close_stalled_connections(self) -> None:
-        """End requests that never come whole, and connections that never say anything.
+        """End requests that never arrive in full, and connections on which nothing ever arrives.
 
-        Each would hold its socket for good.
+        Each of them would occupy its socket forever.
         """
-        limit = monotonic() - REQUEST_READ_TIMEOUT_S
-        for client in [c for c in self._open_connections if c.stalled(limit)]:
-            if client.request_started_s is None:
-                client.close()
+        cutoff_s = monotonic() - REQUEST_READ_TIMEOUT_S
+        for connection in [c for c in self._open_connections if c.is_stalled(cutoff_s)]:
+            if connection.request_started_s is None:
+                connection.close()
             else:
-                client.reject(408)
+                connection.reject(408)
 
     async def drain(self) -> None:
-        """Finish what was taken: listen while connections still come, then until all is answered."""
-        start = monotonic()
+        """Shut down gracefully: listen while connections still arrive, then until all is answered."""
+        start_s = monotonic()
         self.draining = True
-        self._close_idle(start)
-        while (now := monotonic()) < start + DRAIN_MOST_S:
-            if now >= max(start + MIN_DRAIN_LISTEN_S, self._last_accept + QUIET_S):
+        self._close_idle_connections(start_s)
+        while (now_s := monotonic()) < start_s + MAX_DRAIN_LISTEN_S:
+            if now_s >= max(start_s + MIN_DRAIN_LISTEN_S, self._last_accept_s + LISTEN_QUIET_PERIOD_S):
                 break
             await asyncio.sleep(0.01)
-        self._accept()  # what came since the last turn is taken, too
+        self._accept_connections()  # those that arrived since the event loop last polled the listener
         self.stop_listening()
         while self.limiter.open_request_count or any(
-            client.due(monotonic() - FIRST_REQUEST_TIMEOUT_S) for client in self._open_connections
+            connection.expects_request(monotonic() - FIRST_REQUEST_TIMEOUT_S)
+            for connection in self._open_connections
         ):
-            self._close_idle(monotonic())
+            self._close_idle_connections(monotonic())
             await asyncio.sleep(0.01)
-        for client in list(self._open_connections):
-            client.close()
-        end = monotonic() + FLUSH_S
-        while self._open_connections and monotonic() < end:
+        for connection in list(self._open_connections):
+            connection.close()
+        end_s = monotonic() + FINAL_FLUSH_TIMEOUT_S
+        while self._open_connections and monotonic() < end_s:
             await asyncio.sleep(0.01)
 
-    def _close_idle(self, now: float) -> None:
-        for client in [
-            c for c in self.idle_connections if c.served or c.connected_s < now - FIRST_REQUEST_TIMEOUT_S
+    def _close_idle_connections(self, now_s: float) -> None:
+        """Close idle connections, except new ones within `FIRST_REQUEST_TIMEOUT_S` of their connect."""
+        for connection in [
+            c
+            for c in self.idle_connections
+            if c.has_sent_response or c.connected_s < now_s - FIRST_REQUEST_TIMEOUT_S
         ]:
-            self.idle_connections.pop(client, None)
-            client.close()
+            self.idle_connections.pop(connection, None)
+            connection.close()
