--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,4 +1,7 @@
-"""The clients' side on the wire: what is taken on, in which order it is answered, what is turned down."""
+"""Tests of the client side over sockets: validation, response order, limits, timeouts and the drain.
+
+The decision module is replaced by a `StubGateway` where a test prescribes its actions.
+"""
 
 from __future__ import annotations
 
@@ -23,10 +26,11 @@
 
 
 async def echo(request: ReceivedRequest) -> None:
+    """Answer a request with its Req-Id as the body."""
     request.reply(body=request.headers["req-id"].encode())
 
 
-def test_split_bytes() -> None:
+def test_request_that_arrives_byte_by_byte() -> None:
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
@@ -40,41 +44,42 @@
     run(test())
 
 
-def test_pipelined_bytes() -> None:
-    """Answers come in the order of the requests, though a later one is ready first."""
+def test_pipelined_requests_are_answered_in_order() -> None:
+    """The server answers the requests in reverse order, and the last, invalid one never reaches it."""
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            names = [f"id-{n}" for n in range(3)]
+            request_ids = [f"id-{n}" for n in range(3)]
             client.send(
-                b"".join(build_request("read", name) for name in names) + build_request(X_Tier="none")
+                b"".join(build_request("read", request_id) for request_id in request_ids)
+                + build_request(X_Tier="none")
             )
-            held = [await server.request_queue.get() for _ in names]
-            for request in sorted(held, key=lambda r: r.headers["req-id"], reverse=True):
+            held_requests = [await server.request_queue.get() for _ in request_ids]
+            for request in sorted(held_requests, key=lambda r: r.headers["req-id"], reverse=True):
                 await echo(request)
-            assert [(await client.read_response()).body.decode() for _ in names] == names
+            assert [(await client.read_response()).body.decode() for _ in request_ids] == request_ids
             assert (await client.read_response()).status_code == 400
 
     run(test())
 
 
-def test_many_pipelined() -> None:
-    """More than are read ahead: the rest waits in the socket and is answered all the same."""
+def test_more_pipelined_requests_than_are_read_ahead() -> None:
+    """Requests that wait in the socket while reading is paused are answered, too."""
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            names = [f"id-{n}" for n in range(40)]
-            for name in names:
-                client.send(build_request("read", name))
+            request_ids = [f"id-{n}" for n in range(40)]
+            for request_id in request_ids:
+                client.send(build_request("read", request_id))
                 await asyncio.sleep(0)
-            assert [(await client.read_response()).body.decode() for _ in names] == names
+            assert [(await client.read_response()).body.decode() for _ in request_ids] == request_ids
 
     run(test())
 
 
-BAD: list[tuple[bytes, int]] = [
+INVALID_REQUESTS: list[tuple[bytes, int]] = [
     (build_request(Req_Id=None), 400),
     (build_request(Req_Id=""), 400),
     (build_request(Req_Id="with space"), 400),
@@ -118,21 +123,21 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "code"), BAD)
-def test_bad_request(raw: bytes, code: int) -> None:
-    """Told at once; it reaches no server, and its connection goes on."""
+@pytest.mark.parametrize(("raw", "status_code"), INVALID_REQUESTS)
+def test_invalid_request_is_answered_and_reaches_no_server(raw: bytes, status_code: int) -> None:
+    """The connection stays open for further requests."""
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            assert (await client.request(raw)).status_code == code
+            assert (await client.request(raw)).status_code == status_code
             assert (await client.request(build_request(request_id="good"))).body == b"good"
             assert len(server.requests) == 1 and rig.limiter.open_request_count == 0
 
     run(test())
 
 
-BROKEN: list[tuple[bytes, int]] = [
+UNREADABLE_REQUESTS: list[tuple[bytes, int]] = [
     (b"nonsense\r\n\r\n", 400),
     (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),
     (b"GET /read HTTP/9.9\r\n\r\n", 400),
@@ -155,26 +160,26 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "code"), BROKEN)
-def test_broken_bytes(raw: bytes, code: int) -> None:
-    """What can't be read to its end is answered and cut off; what was taken before it is answered first."""
+@pytest.mark.parametrize(("raw", "status_code"), UNREADABLE_REQUESTS)
+def test_unreadable_request_closes_the_connection(raw: bytes, status_code: int) -> None:
+    """Earlier requests on the connection are answered first, and other connections are not affected."""
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            neighbour, client = await rig.connect(), await rig.connect()
+            other_client, client = await rig.connect(), await rig.connect()
             client.send(build_request(request_id="before") + raw)
             assert (await client.read_response()).body == b"before"
-            answer = await client.read_response()
-            assert (answer.status_code, answer.headers["connection"]) == (code, "close")
+            response = await client.read_response()
+            assert (response.status_code, response.headers["connection"]) == (status_code, "close")
             await client.wait_closed()
-            assert (await neighbour.request(build_request(request_id="good"))).body == b"good"
+            assert (await other_client.request(build_request(request_id="good"))).body == b"good"
             assert len(server.requests) == 2 and rig.limiter.open_request_count == 0
 
     run(test())
 
 
-def test_refused_sender() -> None:
-    """One that is still sending gets its answer: cut off at once, it would see a reset in its place."""
+def test_rejected_client_that_is_still_sending_gets_its_response() -> None:
+    """Without a lingering close the client would see a connection reset in place of the response."""
 
     async def test() -> None:
         async with running_limiter(host_entry("a", "127.0.0.1:1")) as rig:
@@ -186,7 +191,7 @@
     run(test())
 
 
-def test_body_of_the_largest_size() -> None:
+def test_body_of_the_maximum_size() -> None:
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
@@ -196,8 +201,8 @@
     run(test())
 
 
-def test_hang_up() -> None:
-    """Nobody waits for what is out: its attempt is given up and nothing is sent again."""
+def test_client_disconnect_cancels_the_attempt() -> None:
+    """Nobody waits for the response any more, so the request is not retried either."""
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
@@ -212,21 +217,21 @@
 
 
 @pytest.mark.parametrize("header", [{"Connection": "close"}, {"Connection": "Upgrade", "Upgrade": "h2c"}])
-def test_close_on_request(header: dict[str, str]) -> None:
+def test_no_request_is_read_after_connection_close_or_upgrade(header: dict[str, str]) -> None:
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            answer = await client.request(
+            response = await client.request(
                 build_request(request_id="last", **header) + build_request(request_id="behind")
             )
-            assert (answer.body, answer.headers["connection"]) == (b"last", "close")
+            assert (response.body, response.headers["connection"]) == (b"last", "close")
             await client.wait_closed()
 
     run(test())
 
 
-def test_up() -> None:
-    """Ready means that a request could be sent on."""
+def test_readiness_check() -> None:
+    """The limiter is ready once it knows a server that requests can be sent to."""
 
     async def test() -> None:
         async with running_limiter() as rig:
@@ -239,9 +244,7 @@
     run(test())
 
 
-def test_no_server() -> None:
-    """Without any server a request is refused at once."""
-
+def test_request_is_refused_at_once_without_any_server() -> None:
     async def test() -> None:
         async with running_limiter() as rig:
             client = await rig.connect()
@@ -250,28 +253,28 @@
     run(test())
 
 
-class Module:
-    """In the decision module's place: it does what the test says."""
+class StubGateway:
+    """Replaces the decision module: `act` handles events of the given types, the real module all others."""
 
-    def __init__(self, rig: LimiterFixture, *events: type) -> None:
-        self.events, self.rest = events, rig.limiter._gateway
+    def __init__(self, rig: LimiterFixture, *event_types: type) -> None:
+        self.event_types, self.real_gateway = event_types, rig.limiter._gateway
         rig.limiter._gateway = self  # type: ignore[assignment]
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        if isinstance(event, self.events):
+        if isinstance(event, self.event_types):
             return self.act(event)
-        return self.rest.handle(now, event)
+        return self.real_gateway.handle(now, event)
 
     def act(self, event: Any) -> list[api.Action]:
         return []
 
 
-def test_silent_module() -> None:
-    """The bridge answers at the deadline where the module never does."""
+def test_request_without_a_decision_is_answered_at_its_deadline() -> None:
+    """The limiter answers with 504 if the decision module never acts on the request."""
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            Module(rig, api.RequestArrived)
+            StubGateway(rig, api.RequestArrived)
             client = await rig.connect()
             assert (await client.request(build_request(Req_Deadline="0.1"))).status_code == 504
             assert rig.limiter.open_request_count == 0
@@ -279,49 +282,56 @@
     run(test())
 
 
-@pytest.mark.parametrize("event", [api.RequestArrived, api.AttemptEnded])
-def test_failing_module(event: type, caplog: pytest.LogCaptureFixture) -> None:
-    """An exception costs its own request alone, and is told in the log."""
+@pytest.mark.parametrize("event_type", [api.RequestArrived, api.AttemptEnded])
+def test_exception_in_the_decision_module_fails_only_its_request(
+    event_type: type, caplog: pytest.LogCaptureFixture
+) -> None:
+    """The exception is logged, and later requests are handled as usual."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def fail(request: ReceivedRequest) -> None:
             request.reply("500 Internal Server Error")
 
-        class Failing(Module):
+        class FailingGateway(StubGateway):
             def act(self, event: Any) -> list[api.Action]:
                 raise RuntimeError("a fault of the module")
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
+        async with backend(fail) as server, running_limiter(host_entry("a", server.address)) as rig:
             client = await rig.connect()
-            broken = Failing(rig, event)
+            gateway = FailingGateway(rig, event_type)
             assert (await client.request(build_request("fix"))).status_code == 500
             assert rig.limiter.open_request_count == 0
-            broken.events = ()
+            gateway.event_types = ()
             assert (await client.request(build_request("fix"))).status_code == 502
 
     run(test())
     assert "a fault of the module" in caplog.text
 
 
-def test_unknown_server_and_moot_sends() -> None:
-    """A send that can't be made is told as one: the module may go on with the request."""
+def test_send_that_cannot_be_made_is_reported_as_not_sent() -> None:
+    """The decision module must learn of it to go on with the request.
+
+    One send is past the attempt's deadline, and the other is for an unknown request.
+    """
 
     async def test() -> None:
-        heard: list[api.AttemptEnded] = []
+        ended_attempts: list[api.AttemptEnded] = []
 
-        class Odd(Module):
+        class InvalidSendGateway(StubGateway):
             def act(self, event: Any) -> list[api.Action]:
                 if isinstance(event, api.RequestArrived):
                     return [api.Send(event.request_id, 0, 1.0), api.Send(99, 0, 0.0)]
-                heard.append(event)
+                ended_attempts.append(event)
                 return [api.Refuse(1, 250.0)]
 
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            Odd(rig, api.RequestArrived, api.AttemptEnded)
+            InvalidSendGateway(rig, api.RequestArrived, api.AttemptEnded)
             client = await rig.connect()
-            answer = await client.request(build_request())
-            assert (answer.status_code, answer.headers["retry-after"]) == (429, "0.250")
-            assert [(o.status, o.attempt_number, o.request_closed) for o in heard] == [
+            response = await client.request(build_request())
+            assert (response.status_code, response.headers["retry-after"]) == (429, "0.250")
+            assert [
+                (ended.status, ended.attempt_number, ended.request_closed) for ended in ended_attempts
+            ] == [
                 (api.CallStatus.NOT_SENT, 0, False),
                 (api.CallStatus.NOT_SENT, 0, True),
             ]
@@ -330,27 +340,27 @@
     run(test())
 
 
-def test_probe_and_timer() -> None:
-    """A probe's report and a timer come back to the module as events."""
-
+def test_probe_result_and_timer_reach_the_decision_module() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def report_load(request: ReceivedRequest) -> None:
             request.reply(body=b'{"inflight": 7, "qps": 2.5}')
 
-        heard: asyncio.Queue[Any] = asyncio.Queue()
+        received_events: asyncio.Queue[Any] = asyncio.Queue()
 
-        class Asking(Module):
+        class ProbingGateway(StubGateway):
             def act(self, event: Any) -> list[api.Action]:
                 if isinstance(event, api.RequestArrived):
                     return [api.Probe(0), api.SetTimer(20.0, 7), api.Fail(event.request_id)]
-                heard.put_nowait(event)
+                received_events.put_nowait(event)
                 return []
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            Asking(rig, api.RequestArrived, api.ProbeResult, api.TimerFired)
+        async with backend(report_load) as server, running_limiter(host_entry("a", server.address)) as rig:
+            ProbingGateway(rig, api.RequestArrived, api.ProbeResult, api.TimerFired)
             client = await rig.connect()
             assert (await client.request(build_request())).status_code == 502
-            events = {type(event): event for event in [await heard.get(), await heard.get()]}
+            events = {
+                type(event): event for event in [await received_events.get(), await received_events.get()]
+            }
             probe, timer = events[api.ProbeResult], events[api.TimerFired]
             assert (probe.status, probe.load_report, timer.token) == (api.CallStatus.OK, (7.0, 2.5), 7)
             assert server.requests[0].request_line == "GET /metrics/load HTTP/1.1"
@@ -358,60 +368,62 @@
     run(test())
 
 
-def test_most_in_hand() -> None:
-    """Beyond the bound a request is refused at once; it was never sent on."""
-
+def test_request_beyond_max_open_is_refused_and_not_sent() -> None:
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address), max_open=1) as rig:
-            one, two = await rig.connect(), await rig.connect()
-            one.send(build_request(request_id="one"))
-            held = await server.request_queue.get()
-            assert (await two.request(build_request(request_id="two"))).status_code == 503
-            await echo(held)
-            assert (await one.read_response()).body == b"one"
+            first_client, second_client = await rig.connect(), await rig.connect()
+            first_client.send(build_request(request_id="one"))
+            held_request = await server.request_queue.get()
+            assert (await second_client.request(build_request(request_id="two"))).status_code == 503
+            await echo(held_request)
+            assert (await first_client.read_response()).body == b"one"
 
     run(test())
 
 
-def test_bound_on_connections() -> None:
-    """At the bound the longest idle connection gives way, and one that waits for its answer does not."""
+def test_connection_limit_closes_an_idle_connection_but_no_busy_one() -> None:
+    """At the limit the connection idle for longest is closed; one that waits for its response stays."""
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
             rig.clients._max_connection_count = 2
-            busy = await rig.connect()
-            busy.send(build_request(request_id="busy"))
-            held = await server.request_queue.get()
-            idle = await rig.connect()
-            assert (await idle.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
-            third = await rig.connect()
-            assert (await third.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
+            busy_client = await rig.connect()
+            busy_client.send(build_request(request_id="busy"))
+            held_request = await server.request_queue.get()
+            idle_client = await rig.connect()
+            assert (await idle_client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
+            third_client = await rig.connect()
+            assert (await third_client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
             with contextlib.suppress(ConnectionError):
-                await idle.wait_closed()
-            await echo(held)
-            assert (await busy.read_response()).body == b"busy"
+                await idle_client.wait_closed()
+            await echo(held_request)
+            assert (await busy_client.read_response()).body == b"busy"
 
     run(test())
 
 
-def test_new_connections_get_their_turn(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the bound a connection that has not had time for its first request does not give way."""
+def test_connection_limit_spares_connections_before_their_first_request(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """At the limit a connection is not closed as idle while it has time left for its first request."""
     monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 60.0)
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             rig.clients._max_connection_count = 2
-            names = ["one", "two", "three"]
-            made = [await rig.connect() for _ in names]
+            request_ids = ["one", "two", "three"]
+            connected_clients = [await rig.connect() for _ in request_ids]
             await wait_until(lambda: len(rig.clients.idle_connections) == 2)
-            for name, client in zip(names, made, strict=True):
-                assert (await client.request(build_request(request_id=name))).body == name.encode()
+            for request_id, client in zip(request_ids, connected_clients, strict=True):
+                assert (
+                    await client.request(build_request(request_id=request_id))
+                ).body == request_id.encode()
 
     run(test())
 
 
-def test_empty_line_behind_a_request() -> None:
-    """It is no request: the connection stays free and is never told that one did not come."""
+def test_empty_line_after_a_request_starts_no_request() -> None:
+    """The connection stays idle and does not time out as if a request had begun to arrive."""
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
@@ -419,16 +431,16 @@
             assert (await client.request(build_request(request_id="one"))).body == b"one"
             [connection] = rig.clients._open_connections
             client.send(b"\r\n")
-            other = await rig.connect()  # while it is served the empty line is read
-            assert (await other.request(build_request(request_id="other"))).body == b"other"
+            other_client = await rig.connect()  # the limiter reads the empty line while it serves this client
+            assert (await other_client.request(build_request(request_id="other"))).body == b"other"
             assert connection.request_started_s is None and connection in rig.clients.idle_connections
             assert (await client.request(build_request(request_id="two"))).body == b"two"
 
     run(test())
 
 
-def test_half_read_request_in_a_drain(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A kept connection whose next request has begun to come is not closed under it."""
+def test_drain_waits_for_a_partly_received_request(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A drain closes idle connections, but none on which the next request has begun to arrive."""
     monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.05)
     monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 60.0)
 
@@ -440,19 +452,19 @@
             await wait_until(lambda: not rig.clients.idle_connections)
             drain = asyncio.create_task(rig.clients.drain())
             await wait_until(lambda: rig.clients._listener.fileno() < 0)
-            for _ in range(5):  # turns of the drain
+            for _ in range(5):  # lets the drain check its connections a few times
                 await asyncio.sleep(0.01)
             client.send(b"\r\n")
-            answer = await client.read_response()
-            assert (answer.body, answer.headers["connection"]) == (b"two", "close")
+            response = await client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"two", "close")
             await drain
 
     run(test())
 
 
-@pytest.mark.parametrize("raw", [b"", build_request()[:20]], ids=["silent", "half a request"])
-def test_stalled_connection(raw: bytes) -> None:
-    """One that says nothing, or whose request never comes whole, gives its socket back."""
+@pytest.mark.parametrize("raw", [b"", build_request()[:20]], ids=["no data", "partial request"])
+def test_stalled_connection_is_closed(raw: bytes) -> None:
+    """A connection that sends nothing, or never a whole request, would occupy its socket forever."""
 
     async def test() -> None:
         async with running_limiter(host_entry("a", "127.0.0.1:1")) as rig:
@@ -463,7 +475,7 @@
             )
             rig.clients.close_stalled_connections()
             [connection] = rig.clients._open_connections
-            connection.connected_s -= clients.REQUEST_READ_TIMEOUT_S  # counted from the connecting on
+            connection.connected_s -= clients.REQUEST_READ_TIMEOUT_S  # the timeout runs from the connect
             rig.clients.close_stalled_connections()
             if raw:
                 assert (await client.read_response()).status_code == 408
@@ -472,51 +484,54 @@
     run(test())
 
 
-def test_crowd_of_half_requests(monkeypatch: pytest.MonkeyPatch) -> None:
-    """At the bound those that have been at it for longest give way to one that asks."""
+def test_connection_limit_times_out_the_slowest_requests(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Clients that never finish their requests must not keep a new client out."""
     monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 0.05)
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
             rig.clients._max_connection_count = 3
-            crowd = [await rig.connect() for _ in range(9)]
-            for client in crowd:
+            slow_clients = [await rig.connect() for _ in range(9)]
+            for client in slow_clients:
                 client.send(build_request()[:20])
-            late = await rig.connect()
-            assert (await late.request(build_request(request_id="late"))).body == b"late"
-            assert (await crowd[0].read_response()).status_code == 408
+            new_client = await rig.connect()
+            assert (await new_client.request(build_request(request_id="late"))).body == b"late"
+            assert (await slow_clients[0].read_response()).status_code == 408
 
     run(test())
 
 
-def test_id_of_an_open_request() -> None:
-    """It goes on once; the other sender is told, and the id is free again when the first has its answer."""
+def test_second_request_with_the_id_of_an_open_one_is_refused() -> None:
+    """Only the first is sent to a server; its Req-Id may be used again once it is answered."""
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            one, two = await rig.connect(), await rig.connect()
-            one.send(build_request(request_id="same"))
-            held = await server.request_queue.get()
-            assert (await two.request(build_request(request_id="same"))).status_code == 409
-            await echo(held)
-            assert (await one.read_response()).body == b"same"
+            first_client, second_client = await rig.connect(), await rig.connect()
+            first_client.send(build_request(request_id="same"))
+            held_request = await server.request_queue.get()
+            assert (await second_client.request(build_request(request_id="same"))).status_code == 409
+            await echo(held_request)
+            assert (await first_client.read_response()).body == b"same"
             server.handler = echo
-            assert (await two.request(build_request(request_id="same"))).body == b"same"
+            assert (await second_client.request(build_request(request_id="same"))).body == b"same"
             assert (len(server.requests), rig.limiter.open_request_count) == (2, 0)
 
     run(test())
 
 
-def test_hidden_request() -> None:
-    """Behind a request of two lengths nothing is read: it may be another reader's body."""
+def test_request_smuggling() -> None:
+    """A request with both Content-Length and Transfer-Encoding is rejected and nothing after it is read.
+
+    What follows could be part of its body to another reader.
+    """
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            hidden = build_request("fix", "hidden")
+            hidden_request = build_request("fix", "hidden")
             for coding in ("chunked", "identity", "x, chunked"):
                 client = await rig.connect()
                 raw = build_request("fix", Content_Length="5", Transfer_Encoding=coding)
-                client.send(raw + b"0\r\n\r\n" + hidden)
+                client.send(raw + b"0\r\n\r\n" + hidden_request)
                 assert (await client.read_response()).status_code == 400
                 with contextlib.suppress(ConnectionError):
                     await client.wait_closed()
@@ -525,27 +540,27 @@
     run(test())
 
 
-def test_bodies_are_bounded_together() -> None:
-    """What comes beyond is refused; the room is there again once a request is answered or its client gone."""
+def test_buffered_bodies_share_one_memory_limit() -> None:
+    """A body beyond the limit is refused; memory is released after the answer or a disconnect."""
 
     async def test() -> None:
         async with (
             backend() as server,
             running_limiter(host_entry("a", server.address), max_buffered_body_bytes=100_000) as rig,
         ):
-            one, two, three = [await rig.connect() for _ in range(3)]
-            one.send(build_request("fix", "one", b"x" * 60_000))
-            held = await server.request_queue.get()
-            two.send(build_request("fix", "two", b"x" * 60_000)[:-1])
-            assert (await two.read_response()).status_code == 503
-            await echo(held)
-            assert (await one.read_response()).body == b"one"
-            three.send(build_request("fix", "three", b"x" * 60_000)[:-1])
+            first_client, second_client, third_client = [await rig.connect() for _ in range(3)]
+            first_client.send(build_request("fix", "one", b"x" * 60_000))
+            held_request = await server.request_queue.get()
+            second_client.send(build_request("fix", "two", b"x" * 60_000)[:-1])
+            assert (await second_client.read_response()).status_code == 503
+            await echo(held_request)
+            assert (await first_client.read_response()).body == b"one"
+            third_client.send(build_request("fix", "three", b"x" * 60_000)[:-1])
             await wait_until(lambda: rig.clients._buffered_body_bytes > 50_000)
-            three.close()
+            third_client.close()
             await wait_until(lambda: rig.clients._buffered_body_bytes == 0)
             server.handler = echo
-            assert (await one.request(build_request("fix", "again", b"x" * 60_000))).body == b"again"
+            assert (await first_client.request(build_request("fix", "again", b"x" * 60_000))).body == b"again"
             assert rig.clients._buffered_body_bytes == 0
 
     run(test())
