--- a/ironstage/net/discovery.py
+++ b/ironstage/net/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery: the list of servers and its watch, taken up again with backoff when it breaks."""
+"""Service discovery: the list of servers, and a watch for its changes that reconnects with backoff.
+
+A watch is one chunked HTTP/1.1 response of the discovery agent that does not end: each line is a host list
+in JSON, and empty lines are heartbeats. Fields that end in `_s` are seconds.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +22,18 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_TIMEOUT_S = 4.5  # the agent writes every 2 s; what it has to tell counts as told after 6 s anyway
-CONNECT_S = 1.0
-# First and longest wait before the watch is taken up again, by one of few limiters.
+# A limiter is regarded as knowing a change 6 s after discovery had it, whether or not it has received it.
+# HEARTBEAT_TIMEOUT_S and MAX_BACKOFF_S stay below that.
+HEARTBEAT_TIMEOUT_S = 4.5  # the agent writes a line, if only an empty one, every 2 s
+CONNECT_TIMEOUT_S = 1.0
+# First and longest backoff before the watch reconnects, with up to UNSCALED_BACKOFF_CLIENT_COUNT limiters.
 BACKOFF_RANGE_S = (0.05, 1.0)
-FEW_CALLERS = 2  # of more the waits are longer in proportion: discovery bears so many calls and no more
-MAX_BACKOFF_S = 5.0  # of all waits; what discovery has to tell counts as told after 6 s anyway
-MAX_LINE_BYTES = 4 << 20  # a line that never ends must not fill the memory
+# With more limiters the backoff grows in proportion: discovery can handle no higher rate of calls.
+UNSCALED_BACKOFF_CLIENT_COUNT = 2
+MAX_BACKOFF_S = 5.0  # however many limiters there are
+MAX_LINE_BYTES = 4 << 20  # an endless line must not exhaust the memory
 
-STATES = {
+STATE_BY_HEALTH = {
     "active": api.ServerState.READY,
     "leaving": api.ServerState.DRAINING,
     "left": api.ServerState.GONE,
@@ -35,95 +42,108 @@
 
 @dataclass(frozen=True, slots=True)
 class Host:
+    """An entry of the host list: a server, its address `dial`, and its location.
+
+    `relative_capacity` is a factor without unit.
+    """
+
     name: str
     dial: Address
     zone: str
     cell: int
     state: api.ServerState
     relative_capacity: float
-    born_ms: float  # Unix time, 0 for long ago
+    born_ms: float  # Unix time of its start, 0 for long ago
 
 
 @dataclass(frozen=True, slots=True)
 class HostList:
+    """A version of the host list: all hosts if `whole`, else only those that changed."""
+
     seq: int
     whole: bool
     hosts: tuple[Host, ...]
 
 
-def _finite(value: Any) -> float:
+def _parse_finite(value: Any) -> float:
     number = float(value)
     if not math.isfinite(number):
-        raise ValueError(f"not finite: {value!r}")
+        raise ValueError(f"not a finite number: {value!r}")
     return number
 
 
-def _host(raw: Any) -> Host:
-    state, name = STATES[raw["health"]], raw["host"]
+def _parse_host(raw: Any) -> Host:
+    state, name = STATE_BY_HEALTH[raw["health"]], raw["host"]
     if not isinstance(name, str) or not name:
-        raise ValueError(f"no host: {raw!r}")
+        raise ValueError(f"host is empty or not a string: {raw!r}")
     return Host(
         name=name,
-        # One that left may come without an address: nothing is sent there any more.
+        # A host that left needs no address, as nothing is sent to it any more.
         dial=("", 0) if state is api.ServerState.GONE else parse_address(raw["dial"]),
         zone=str(raw.get("site", "")),
         cell=int(raw.get("block", 0)),
         state=state,
-        relative_capacity=_finite(raw.get("share", 1.0)),
-        born_ms=_finite(raw.get("born_ms", 0)),
+        relative_capacity=_parse_finite(raw.get("share", 1.0)),
+        born_ms=_parse_finite(raw.get("born_ms", 0)),
     )
 
 
 def parse_host_list(raw: Any) -> tuple[HostList, bool]:
-    """A list and whether all of it could be read; ValueError where it is none at all.
+    """Parse a host list; return it, and whether all of its entries are valid.
 
-    A list with an entry that can't be read is no longer whole: what it does not name may be that
-    entry, and must not count as gone.
+    Invalid entries are skipped. The list is then not `whole`, as a host that seems absent may be the one
+    of an invalid entry and must not be taken for gone. Raise ValueError if `raw` is not a host list.
     """
     if not isinstance(raw, dict) or not isinstance(raw.get("hosts"), list):
-        raise ValueError("not a list of hosts")
+        raise ValueError("not an object with a list of hosts")
     seq = raw.get("seq")
     if isinstance(seq, bool) or not isinstance(seq, int):
-        raise ValueError("seq is not a whole number")
-    hosts, sound = [], True
+        raise ValueError("seq is not an integer")
+    hosts, all_valid = [], True
     for entry in raw["hosts"]:
         try:
-            hosts.append(_host(entry))
+            hosts.append(_parse_host(entry))
         except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
-            log.warning("discovery: entry of list %d skipped: %r", seq, error)
-            sound = False
-    return HostList(seq, sound and raw.get("whole") is True, tuple(hosts)), sound
+            log.warning("discovery: skipped an invalid entry of host list version %d: %r", seq, error)
+            all_valid = False
+    return HostList(seq, all_valid and raw.get("whole") is True, tuple(hosts)), all_valid
 
 
 class _WatchStream(asyncio.Protocol):
-    """One watch: cuts the chunked answer into lines."""
+    """The connection of one watch: splits the chunked response into lines.
+
+    `on_line` gets each line that is not empty, and returns False to close the watch. `ended` is done once the
+    connection is closed.
+    """
 
     def __init__(self, on_line: Callable[[bytes], bool]) -> None:
         self._on_line = on_line
         self._parser = httptools.HttpResponseParser(self)
-        self._buffer = bytearray()  # of a line that has begun; grown in place, as it may come byte by byte
-        self._cut = False  # whether it is whole
+        self._buffer = bytearray()  # extended in place, as a line may arrive byte by byte
+        self._has_complete_line = False  # the buffer holds the end of a line
         self._transport: asyncio.Transport | None = None
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
+        # uvloop's transport is not a subclass of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        self.heard = asyncio.get_running_loop().time()
+        self.last_received_s = asyncio.get_running_loop().time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            log.warning("discovery: %r", error)
+            log.warning("discovery: closing the watch, invalid HTTP response: %r", error)
             self.close()
             return
         lines: list[bytes] = []
-        if self._cut:  # only then: cut anew for each piece, a long list in many would cost its length squared
-            *lines, rest = bytes(self._buffer).split(b"\n")
-            self._buffer, self._cut = bytearray(rest), False
+        # Splitting the buffer at each chunk would take quadratic time for a long list in many chunks.
+        if self._has_complete_line:
+            *lines, incomplete_line = bytes(self._buffer).split(b"\n")
+            self._buffer, self._has_complete_line = bytearray(incomplete_line), False
         if len(self._buffer) > MAX_LINE_BYTES:
-            log.warning("discovery: a line of over %d bytes", MAX_LINE_BYTES)
+            log.warning("discovery: closing the watch, a line exceeds %d bytes", MAX_LINE_BYTES)
             self.close()
         for line in lines:
             if line.strip() and not self._on_line(line):
@@ -133,7 +153,7 @@
     def on_body(self, body: bytes) -> None:
         if self._parser.get_status_code() == 200:
             self._buffer += body
-            self._cut = self._cut or b"\n" in body
+            self._has_complete_line = self._has_complete_line or b"\n" in body
 
     def on_message_complete(self) -> None:
         self.close()
@@ -148,16 +168,20 @@
 
 
 def count_discovery_clients(settings: api.Settings) -> int:
-    """How many limiters' calls meet at discovery.
+    """Return how many limiters call the same discovery service, as the backoff depends on it.
 
-    Where changes come by themselves the agent on this machine has them already, answers at once, and what it
-    holds counts as told, asked for or not: a limiter that starts has no time to lose.
+    If limiters must subscribe, all of them do. Otherwise changes are pushed to the agent on each machine,
+    which answers at once. What it holds is regarded as known to its limiter, whether requested or not, so a
+    starting limiter must not be delayed by a long backoff.
     """
     return settings.gateway_count if settings.must_subscribe else 1
 
 
 class Watch:
-    """Keeps one watch open and hands on each list that says something new."""
+    """Keeps a watch open and passes each host list with something new to `on_list`.
+
+    `seq` is the version of the latest list that was processed and had no invalid entry.
+    """
 
     def __init__(
         self,
@@ -169,73 +193,80 @@
         self._address = address
         self._on_list = on_list
         self._rng = rng
-        crowd = max(1.0, discovery_client_count / FEW_CALLERS)
-        self._first_s, self._longest_s = (min(MAX_BACKOFF_S, wait * crowd) for wait in BACKOFF_RANGE_S)
+        scale = max(1.0, discovery_client_count / UNSCALED_BACKOFF_CLIENT_COUNT)
+        self._min_backoff_s, self._max_backoff_s = (
+            min(MAX_BACKOFF_S, bound_s * scale) for bound_s in BACKOFF_RANGE_S
+        )
         self._awaiting_first_list = True
-        self._turn: asyncio.Timeout | None = None
+        self._watch_timeout: asyncio.Timeout | None = None  # made to expire when the address changes
         self.seq = 0
 
     def change_address(self, address: Address) -> None:
-        """Follow another agent at once; what the last one told stays known."""
+        """Switch the watch to another agent at once; the host list received so far stays in use."""
         if address != self._address:
             self._address = address
-            if self._turn:
-                self._turn.reschedule(asyncio.get_running_loop().time())
+            if self._watch_timeout:
+                self._watch_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def run(self) -> None:
-        """Watch for ever; each break is followed by a new watch from the last version read.
+        """Watch until cancelled; after each failure reconnect from the last version processed.
 
-        Waits are drawn at random: limiters that start or lose discovery together would else come again
-        together, each call in the others' way until all have waited in vain.
+        The backoff is random: limiters that start or lose discovery at the same time would else call it again
+        at the same time, and delay one another until every call times out.
         """
-        first, longest = self._first_s, self._longest_s
-        wait = first
-        await asyncio.sleep(first * self._rng.random())
+        min_backoff_s, max_backoff_s = self._min_backoff_s, self._max_backoff_s
+        backoff_s = min_backoff_s
+        await asyncio.sleep(min_backoff_s * self._rng.random())
         while True:
-            before = self.seq
+            seq_before = self.seq
             try:
-                async with asyncio.timeout(None) as self._turn:
-                    await self._try()
-                    wait = first if self.seq != before else min(longest, wait * 2)
-                    await asyncio.sleep(wait * (1.0 + self._rng.random()) / 2)
-            except TimeoutError:  # moved: the new agent counts its versions from where it likes
-                self.seq, wait = 0, first
-
-    async def _try(self) -> None:
+                async with asyncio.timeout(None) as self._watch_timeout:
+                    await self._watch_once()
+                    backoff_s = min_backoff_s if self.seq != seq_before else min(max_backoff_s, backoff_s * 2)
+                    await asyncio.sleep(backoff_s * (1.0 + self._rng.random()) / 2)
+            except TimeoutError:  # the address changed; the new agent has its own version numbers
+                self.seq, backoff_s = 0, min_backoff_s
+
+    async def _watch_once(self) -> None:
+        """Watch until the connection ends; log a failure to connect."""
         try:
-            await self._follow()
+            await self._connect_and_read()
         except (OSError, TimeoutError) as error:
-            log.warning("discovery: %r", error)
+            log.warning("discovery: watch failed: %r", error)
 
-    async def _follow(self) -> None:
+    async def _connect_and_read(self) -> None:
+        """Connect to the agent, request the watch and process its lines until it ends or stalls."""
         loop = asyncio.get_running_loop()
         host, port = self._address
         self._awaiting_first_list = True
-        async with asyncio.timeout(CONNECT_S):
+        async with asyncio.timeout(CONNECT_TIMEOUT_S):
             transport, stream = await loop.create_connection(
                 lambda: _WatchStream(self._handle_line), host, port
             )
-        query = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
-        transport.write(query.encode())
+        request = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
+        transport.write(request.encode())
         try:
-            # TCP does not tell that the other machine vanished: only its silence does.
-            while not stream.ended.done() and (left := stream.heard + SILENCE_TIMEOUT_S - loop.time()) > 0:
-                await asyncio.wait([stream.ended], timeout=left)
+            # TCP does not report that the other machine vanished: only missing heartbeats show it.
+            while (
+                not stream.ended.done()
+                and (remaining_s := stream.last_received_s + HEARTBEAT_TIMEOUT_S - loop.time()) > 0
+            ):
+                await asyncio.wait([stream.ended], timeout=remaining_s)
         finally:
             transport.abort()
 
     def _handle_line(self, line: bytes) -> bool:
-        """Take one line; False where it must be asked for again."""
+        """Process a line; return False if it is not entirely valid and must be requested again."""
         try:
-            told, sound = parse_host_list(json.loads(line))
+            host_list, all_valid = parse_host_list(json.loads(line))
         except (ValueError, RecursionError) as error:
-            log.warning("discovery: line skipped: %r", error)
+            log.warning("discovery: closing the watch, invalid host list: %r", error)
             return False
-        # Repeats and stragglers are old news; only the first line of a watch may start versions anew.
-        if told.seq <= self.seq and not (self._awaiting_first_list and told.whole):
+        # Ignore repeated and outdated lists. Only a full list at the start of a watch may reset the version.
+        if host_list.seq <= self.seq and not (self._awaiting_first_list and host_list.whole):
             return True
         self._awaiting_first_list = False
-        self._on_list(told)
-        if sound:
-            self.seq = told.seq
-        return sound
+        self._on_list(host_list)
+        if all_valid:
+            self.seq = host_list.seq
+        return all_valid
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -1,4 +1,7 @@
-"""The servers' side: kept connections, attempts and how they ended. Nothing is ever sent again here."""
+"""The server side: HTTP/1.1 attempts over pooled connections. Nothing is retried here.
+
+Fields that end in `_s` are seconds; points in time are on the monotonic clock, as the event loop's are.
+"""
 
 from __future__ import annotations
 
@@ -19,21 +22,29 @@
 
 log = logging.getLogger(__name__)
 
-BODY_LIMIT = 64 * 1024
-HEAD_LIMIT = 16 * 1024
-IDLE_PART = 0.5  # of the time after which servers close: this clock and theirs need not agree
-SAFE_REUSE_IDLE_S = 0.05  # one free for less is used in any case: no server ends it so soon
-REUSE_BACK = 0.5  # of the time after which a free connection turned out to be dead: how long others stay
-REUSE_RISE = 1.003  # a sweep; what was learnt from one that was dead fades, doubling in about a minute
-USAGE = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
-# For the rest of an answer that has begun to come; one that stops short is spoilt.
+MAX_BODY_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 16 * 1024
+# A connection is reused within this fraction of the servers' idle timeout, as their clocks may differ.
+IDLE_TIMEOUT_FRACTION = 0.5
+SAFE_REUSE_IDLE_S = 0.05  # no server closes a connection that has been idle for less
+# After a connection broke that had been idle for a time t, others are reused up to this fraction of t.
+BROKEN_IDLE_FRACTION = 0.5
+# Growth of that bound at each sweep (every 0.25 s): until it has recovered it doubles in about a minute.
+MAX_IDLE_GROWTH_FACTOR = 1.003
+USAGE_PERCENT_PATTERN = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
+# Once a response has begun to arrive, it is invalid if the rest takes longer than this.
 PARTIAL_RESPONSE_TIMEOUT_S = 0.25
-TIMER_RESOLUTION_S = 0.001  # the loop counts whole milliseconds; an attempt must not end before its time
+# The loop counts whole milliseconds: timers are set this much later, so as not to expire early.
+TIMER_RESOLUTION_S = 0.001
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """How an attempt ended, and what came with it."""
+    """The outcome of an attempt.
+
+    `body` and `content_type` are those of the response. `usage_percent` is the customer's metered use in
+    percent of its rate, or None without a valid reading; `load_report` is the raw load report, if any.
+    """
 
     status: CallStatus
     body: bytes = b""
@@ -44,54 +55,61 @@
 
 @dataclass(slots=True)
 class Server:
-    """Where a server listens, and the connections to it that are free, the latest used last."""
+    """A server's address, whether it takes new requests, and its idle connections, latest used last."""
 
-    dial: Address
+    address: Address
     ready: bool = True
-    idle_connections: list[_Connection] = field(default_factory=list)
+    idle_connections: list[_ServerConnection] = field(default_factory=list)
 
 
 class Attempt:
-    """One message to one server; `on_end` hears of its end, once."""
+    """An HTTP request `message` sent to one server, which times out at `deadline_s`.
+
+    `on_end` is called once, with the outcome.
+    """
 
-    __slots__ = ("_on_end", "_timer", "connection", "ended", "message", "until")
+    __slots__ = ("_on_end", "_timer", "connection", "deadline_s", "ended", "message")
 
-    def __init__(self, message: bytes, until: float, on_end: Callable[[AttemptResult], None]) -> None:
+    def __init__(self, message: bytes, deadline_s: float, on_end: Callable[[AttemptResult], None]) -> None:
         self.message = message
-        self.until = until
-        self.connection: _Connection | None = None
+        self.deadline_s = deadline_s
+        self.connection: _ServerConnection | None = None
         self.ended = False
         self._on_end = on_end
-        self._timer = asyncio.get_running_loop().call_at(until + TIMER_RESOLUTION_S, self._time_out)
+        self._timer = asyncio.get_running_loop().call_at(
+            deadline_s + TIMER_RESOLUTION_S, self._handle_timeout
+        )
 
-    def end(self, reply: AttemptResult) -> None:
+    def end(self, result: AttemptResult) -> None:
+        """Report the outcome; calls after the first do nothing."""
         if not self.ended:
             self.ended = True
             self._timer.cancel()
             self.connection = None
-            self._on_end(reply)
+            self._on_end(result)
 
     def cancel(self) -> None:
-        self._give_up(CallStatus.CANCELLED)
+        """End the attempt with CANCELLED and close its connection."""
+        self._abort(CallStatus.CANCELLED)
 
-    def _time_out(self) -> None:
-        # Without its last byte written no server has begun it.
-        written = self.connection is not None and self.connection.written
-        self._give_up(CallStatus.TIMEOUT if written else CallStatus.CONNECT_FAILED)
+    def _handle_timeout(self) -> None:
+        # A server runs a request only once it has its last byte.
+        written = self.connection is not None and self.connection.request_written
+        self._abort(CallStatus.TIMEOUT if written else CallStatus.CONNECT_FAILED)
 
-    def _give_up(self, status: CallStatus) -> None:
+    def _abort(self, status: CallStatus) -> None:
         if self.connection:
-            self.connection.drop()
+            self.connection.close_immediately()
         self.end(AttemptResult(status))
 
 
-def _usage(raw: bytes) -> int | None:
-    """The metered use in percent; what is no such number, or one beyond the meter's range, says nothing."""
-    return round(float(raw)) if USAGE.fullmatch(raw) else None
+def _parse_usage_percent(raw: bytes) -> int | None:
+    """Return the metered use in percent, or None if the value is no number or beyond the meter's range."""
+    return round(float(raw)) if USAGE_PERCENT_PATTERN.fullmatch(raw) else None
 
 
-class _Connection(asyncio.Protocol):
-    """One connection: at most one attempt at a time, and the answer that it is getting."""
+class _ServerConnection(asyncio.Protocol):
+    """A connection to a server: carries at most one attempt at a time and parses its response."""
 
     def __init__(self, servers: Servers, server: Server, sock: socket.socket) -> None:
         self._servers = servers
@@ -101,36 +119,44 @@
         self._transport: asyncio.Transport | None = None
         self._attempt: Attempt | None = None
         self._headers: dict[bytes, bytes] = {}
-        self._body: list[bytes] = []
-        self._size = 0
-        self._code = 0
-        self._headed = self._complete = self._keep = False
-        self._within = False  # an answer has come in part
-        self._rest: asyncio.TimerHandle | None = None  # runs meanwhile
-        self.written = False
-        self.idle_since = 0.0
-        self.rested = 0.0  # how long it was free before the attempt that it carries
-        self._silent = True  # nothing has come since then
+        self._body_parts: list[bytes] = []
+        self._received_bytes = 0  # of the head, with interim responses; then of the body
+        self._status_code = 0
+        self._head_complete = self._response_complete = self._keep_alive = False
+        self._message_incomplete = False  # a response, interim or final, has been received in part
+        self._partial_response_timer: asyncio.TimerHandle | None = None  # runs while a response is incomplete
+        self.request_written = False  # the whole request has been passed to the kernel
+        self.idle_since_s = 0.0
+        self.prior_idle_s = 0.0  # idle time before the current attempt
+        self._nothing_received = True  # no byte received since the current attempt started
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's own is no subclass of it
-        self._transport.set_write_buffer_limits(high=0)  # so that resume_writing tells of the last byte
+        # uvloop's transport is not a subclass of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
+        # With this limit, resume_writing is called once the last byte has been written.
+        self._transport.set_write_buffer_limits(high=0)
 
     def start(self, attempt: Attempt) -> None:
+        """Send an attempt's request over this connection."""
         assert self._transport
         self._attempt, attempt.connection = attempt, self
-        self._headers, self._body, self._size = {}, [], 0
-        self._headed = self._complete = self._keep = False
-        self._silent = True
+        self._headers, self._body_parts, self._received_bytes = {}, [], 0
+        self._head_complete = self._response_complete = self._keep_alive = False
+        self._nothing_received = True
         self._transport.write(attempt.message)
-        # A write that fails closes the transport at once; one that is cut short leaves a rest in it.
-        self.written = not self._transport.is_closing() and not self._transport.get_write_buffer_size()
+        # A failed write closes the transport at once; a partial write leaves the rest in its buffer.
+        self.request_written = (
+            not self._transport.is_closing() and not self._transport.get_write_buffer_size()
+        )
 
     def resume_writing(self) -> None:
-        self.written = True
+        self.request_written = True
+
+    def is_reusable(self) -> bool:
+        """Return whether the idle connection is open and has no unsolicited data.
 
-    def fresh(self) -> bool:
-        """Whether the server has not closed, as far as this machine was told by now."""
+        The kernel is asked, as it may hold a close or data that the event loop has not processed yet.
+        """
         assert self._transport
         if self._transport.is_closing():
             return False
@@ -140,211 +166,237 @@
             return True
         except OSError:
             return False
-        return False  # the end of the connection, or an answer to nothing
+        return False  # closed by the server, or unsolicited data
 
     def data_received(self, data: bytes) -> None:
         if self._attempt is None:
-            self.drop()
+            self.close_immediately()
             return
-        self._silent = False
-        self._size += 0 if self._headed else len(data)
+        self._nothing_received = False
+        self._received_bytes += 0 if self._head_complete else len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            # Behind a whole answer it is no fault of that answer; the connection is of no further use.
-            self._keep = False
-            if not self._complete:
-                self._spoil(repr(error))
+            # Invalid bytes after a complete response do not affect it, but rule out reuse.
+            self._keep_alive = False
+            if not self._response_complete:
+                self._fail_invalid_response(repr(error))
                 return
-        if self._complete:
-            self._finish()
-        elif self._attempt and not self._headed and self._size > HEAD_LIMIT:
-            self._spoil("a head that does not end")
-        elif not self._within:
-            self._settle()  # an interim answer says nothing of when the final one begins
-        elif self._attempt and self._rest is None:
-            self._rest = asyncio.get_running_loop().call_later(
-                PARTIAL_RESPONSE_TIMEOUT_S, self._spoil, "stopped short"
+        if self._response_complete:
+            self._finish_attempt()
+        elif self._attempt and not self._head_complete and self._received_bytes > MAX_HEAD_BYTES:
+            self._fail_invalid_response("head too large")
+        elif not self._message_incomplete:
+            self._stop_partial_response_timer()  # an interim response does not tell when the final one begins
+        elif self._attempt and self._partial_response_timer is None:
+            self._partial_response_timer = asyncio.get_running_loop().call_later(
+                PARTIAL_RESPONSE_TIMEOUT_S, self._fail_invalid_response, "timed out waiting for the rest"
             )
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        if not self._complete:
+        if not self._response_complete:
             self._headers[name.lower()] = value.strip()
 
     def on_headers_complete(self) -> None:
-        if self._complete:
+        if self._response_complete:
             return
-        self._headed = self._parser.get_status_code() >= 200
-        if self._headed:
-            self._size = 0
-            self._check_length()
+        self._head_complete = self._parser.get_status_code() >= 200
+        if self._head_complete:
+            self._received_bytes = 0
+            self._check_body_framing()
+
+    def _check_body_framing(self) -> None:
+        """Require Content-Length or chunked encoding: else a truncated body would look complete.
 
-    def _check_length(self) -> None:
-        """Without a length that is told and can be kept an answer cut short would look like a whole one."""
+        A Content-Length beyond the maximum is invalid, too.
+        """
         length = self._headers.get(b"content-length", b"")
         if self._headers.get(b"transfer-encoding", b"").lower() != b"chunked" and not length:
-            self._spoil("neither a length nor chunks")
-        elif length.isdigit() and int(length[:9]) > BODY_LIMIT:
-            self._spoil("answer too large")
+            self._fail_invalid_response("neither Content-Length nor chunked encoding")
+        elif length.isdigit() and int(length[:9]) > MAX_BODY_BYTES:
+            self._fail_invalid_response("body too large")
 
     def on_body(self, body: bytes) -> None:
-        if self._complete or self._attempt is None:
+        if self._response_complete or self._attempt is None:
             return
-        self._size += len(body)
-        self._body.append(body)
-        if self._size > BODY_LIMIT:
-            self._spoil("answer too large")
+        self._received_bytes += len(body)
+        self._body_parts.append(body)
+        if self._received_bytes > MAX_BODY_BYTES:
+            self._fail_invalid_response("body too large")
 
     def on_message_complete(self) -> None:
-        self._within = False
-        if self._headed and not self._complete and self._attempt:
-            self._complete, self._code = True, self._parser.get_status_code()
-            self._keep = self._parser.should_keep_alive()
-        elif not self._headed:
-            self._headers = {}  # of an interim answer
+        self._message_incomplete = False
+        if self._head_complete and not self._response_complete and self._attempt:
+            self._response_complete, self._status_code = True, self._parser.get_status_code()
+            self._keep_alive = self._parser.should_keep_alive()
+        elif not self._head_complete:
+            self._headers = {}  # discard those of an interim response
 
     def on_message_begin(self) -> None:
-        self._within = True
-        if self._complete:  # bytes behind the answer: what follows is not to be trusted
-            self._keep = False
+        self._message_incomplete = True
+        if self._response_complete:  # unsolicited bytes after the response rule out reuse
+            self._keep_alive = False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._servers.closed(self._server, self)
-        del self._parser  # it holds this object, too: together they would wait for the collector
-        self._break()
+        self._servers.handle_connection_closed(self._server, self)
+        del self._parser  # breaks a reference cycle that only the garbage collector would free
+        self._handle_connection_loss()
 
-    def drop(self) -> None:
-        """Close so that the server hears of it before anything that is written from now on."""
+    def close_immediately(self) -> None:
+        """Close at once: the server sees the close before anything that is sent to it from now on.
+
+        The current attempt, if any, is detached without an outcome: the caller ends it.
+        """
         self._attempt = None
-        self._settle()
+        self._stop_partial_response_timer()
         if self._transport and not self._transport.is_closing():
-            with contextlib.suppress(OSError):  # the other side was faster
+            with contextlib.suppress(OSError):  # already closed by the server
                 self._sock.shutdown(socket.SHUT_RDWR)
             self._transport.abort()
 
-    def _break(self) -> None:
-        if self._attempt and self._silent:
-            self._servers.record_broken_connection(self.rested)
-        self._fail(CallStatus.RESET)
+    def _handle_connection_loss(self) -> None:
+        """End the current attempt, if any, after the connection was lost."""
+        if self._attempt and self._nothing_received:
+            self._servers.record_broken_connection(self.prior_idle_s)
+        self._fail_attempt(CallStatus.RESET)
 
-    def _spoil(self, what: str) -> None:
-        """An answer that can't be read: the server lives and may have run the request; none can be served."""
-        log.warning("server %s: %s", self._server.dial, what)
-        self._fail(CallStatus.ERROR)
+    def _fail_invalid_response(self, reason: str) -> None:
+        """End the current attempt with ERROR, as its response is invalid.
 
-    def _fail(self, status: CallStatus) -> None:
-        attempt, written = self._attempt, self.written
-        self._body = []
-        self.drop()
+        The server is alive and may have run the request, but there is no response to forward.
+        """
+        log.warning("invalid response from server %s: %s", self._server.address, reason)
+        self._fail_attempt(CallStatus.ERROR)
+
+    def _fail_attempt(self, status: CallStatus) -> None:
+        """Close the connection and end the current attempt, if any.
+
+        The status is CONNECT_FAILED if the request was not sent whole, as the server can't have run it.
+        """
+        attempt, written = self._attempt, self.request_written
+        self._body_parts = []
+        self.close_immediately()
         if attempt:
             attempt.end(AttemptResult(status if written else CallStatus.CONNECT_FAILED))
 
-    def _settle(self) -> None:
-        if self._rest:
-            self._rest.cancel()
-            self._rest = None
+    def _stop_partial_response_timer(self) -> None:
+        if self._partial_response_timer:
+            self._partial_response_timer.cancel()
+            self._partial_response_timer = None
 
-    def _finish(self) -> None:
-        self._settle()
+    def _finish_attempt(self) -> None:
+        """End the current attempt with its complete response, and keep the connection if possible."""
+        self._stop_partial_response_timer()
         attempt, self._attempt = self._attempt, None
         if attempt is None:
             return
-        if self._code == 200:
+        if self._status_code == 200:
             status = CallStatus.OK
-        elif self._code in (503, 504) and self._headers.get(b"srv-declined") == b"1":
+        elif self._status_code in (503, 504) and self._headers.get(b"srv-declined") == b"1":
             status = CallStatus.REJECTED
         else:
             status = CallStatus.ERROR
-        reply = AttemptResult(
+        result = AttemptResult(
             status,
-            b"".join(self._body),
+            b"".join(self._body_parts),
             self._headers.get(b"content-type", b""),
-            _usage(self._headers.get(b"x-ratelimit-used", b"")),
+            _parse_usage_percent(self._headers.get(b"x-ratelimit-used", b"")),
             self._headers.get(b"srv-load", b""),
         )
-        self._body = []
-        if self._keep and self.written:
-            self._servers.keep(self._server, self)
+        self._body_parts = []
+        if self._keep_alive and self.request_written:
+            self._servers.add_idle_connection(self._server, self)
         else:
-            self.drop()
-        attempt.end(reply)
+            self.close_immediately()
+        attempt.end(result)
 
 
 class Servers:
-    """The servers by number, the connections to them and the bound on their number."""
+    """A pool of connections to the servers, which are identified by the decision module's numbers.
 
-    def __init__(self, most: int, connect_s: float, idle_s: float) -> None:
-        self._most = most
-        self._connect_s = connect_s
-        self._longest_s = self._max_idle_s = max(SAFE_REUSE_IDLE_S, idle_s * IDLE_PART)
+    At most `max_connections` are open. Servers close a connection idle for `server_idle_timeout_s`.
+    """
+
+    def __init__(self, max_connections: int, connect_timeout_s: float, server_idle_timeout_s: float) -> None:
+        self._max_connections = max_connections
+        self._connect_timeout_s = connect_timeout_s
+        self._initial_max_idle_s = self._max_idle_s = max(
+            SAFE_REUSE_IDLE_S, server_idle_timeout_s * IDLE_TIMEOUT_FRACTION
+        )
         self._servers: dict[int, Server] = {}
         self._connect_tasks: set[asyncio.Task[None]] = set()
         self._open_connection_count = 0
 
-    def add_or_update(self, number: int, dial: Address, ready: bool) -> None:
-        """What discovery says of a server; one that moved or leaves keeps no free connection."""
-        server = self._servers.setdefault(number, Server(dial))
-        if not ready or server.dial != dial:
-            self._drop_idle(server)
+    def add_or_update(self, server_id: int, address: Address, ready: bool) -> None:
+        """Record a server as discovery reports it; if it moved or isn't ready, close its idle connections."""
+        server = self._servers.setdefault(server_id, Server(address))
+        if not ready or server.address != address:
+            self._close_idle_connections_to(server)
         server.ready = ready
         if ready:
-            server.dial = dial
+            server.address = address
 
-    def remove(self, number: int) -> None:
-        """Forget a server that is gone; what is still out there ends over its own connection."""
-        if server := self._servers.pop(number, None):
+    def remove(self, server_id: int) -> None:
+        """Forget a server that is gone; its outstanding attempts finish on their connections."""
+        if server := self._servers.pop(server_id, None):
             server.ready = False
-            self._drop_idle(server)
+            self._close_idle_connections_to(server)
 
     def any_ready(self) -> bool:
+        """Return whether any server takes new requests."""
         return any(server.ready for server in self._servers.values())
 
     def send(
         self,
-        number: int,
+        server_id: int,
         message: bytes,
-        until: float,
+        deadline_s: float,
         on_end: Callable[[AttemptResult], None],
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> Attempt:
-        """Begin an attempt over the latest used free connection, or over a new one.
+        """Start an attempt over the most recently used idle connection, or over a new one.
 
-        What can go out only `once` takes none that may be ending unseen: a reset would be its end.
+        An `at_most_once` request reuses a connection only within SAFE_REUSE_IDLE_S: the server might be
+        closing one that has been idle for longer, and the request can't be retried after a reset.
         """
-        attempt = Attempt(message, until, on_end)
-        server = self._servers[number]
-        most = min(self._max_idle_s, SAFE_REUSE_IDLE_S) if once else self._max_idle_s
+        attempt = Attempt(message, deadline_s, on_end)
+        server = self._servers[server_id]
+        max_idle_s = min(self._max_idle_s, SAFE_REUSE_IDLE_S) if at_most_once else self._max_idle_s
         while server.idle_connections:
             connection = server.idle_connections[-1]
-            connection.rested = monotonic() - connection.idle_since
-            if most < connection.rested <= self._max_idle_s:
-                break  # of use to others; those below it were free for longer still
+            connection.prior_idle_s = monotonic() - connection.idle_since_s
+            if max_idle_s < connection.prior_idle_s <= self._max_idle_s:
+                break  # still of use to other requests; the remaining ones have been idle even longer
             server.idle_connections.pop()
-            if connection.rested <= most and connection.fresh():
+            if connection.prior_idle_s <= max_idle_s and connection.is_reusable():
                 connection.start(attempt)
                 return attempt
-            connection.drop()
+            connection.close_immediately()
         task = asyncio.get_running_loop().create_task(self._connect(server, attempt))
         self._connect_tasks.add(task)
         task.add_done_callback(self._connect_tasks.discard)
         return attempt
 
     async def _connect(self, server: Server, attempt: Attempt) -> None:
-        """Open a connection for an attempt; if that is over by then, it is kept for the next."""
-        if self._open_connection_count >= self._most and not self._drop_oldest():
-            log.warning("no connection to %s: %d are open", server.dial, self._open_connection_count)
+        """Open a connection for an attempt; if the attempt has ended by then, keep it for the next one."""
+        if self._open_connection_count >= self._max_connections and not self._close_longest_idle_connection():
+            log.warning(
+                "no new connection to server %s: the limit is reached with %d open and none idle",
+                server.address,
+                self._open_connection_count,
+            )
             attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
             return
         self._open_connection_count += 1
-        dial, sock = server.dial, None
+        address, sock = server.address, None
         try:
-            async with asyncio.timeout(self._connect_s):
+            async with asyncio.timeout(self._connect_timeout_s):
                 loop = asyncio.get_running_loop()
-                sock = socket.socket(socket.AF_INET6 if ":" in dial[0] else socket.AF_INET)
+                sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET)
                 sock.setblocking(False)
                 sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-                await loop.sock_connect(sock, dial)
-                connection = _Connection(self, server, sock)
+                await loop.sock_connect(sock, address)
+                connection = _ServerConnection(self, server, sock)
                 await loop.create_connection(lambda: connection, sock=sock)
         except (OSError, TimeoutError):
             self._open_connection_count -= 1
@@ -352,59 +404,74 @@
                 sock.close()
             attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
             return
-        if not server.ready or server.dial != dial:
-            # It drained or moved while this connection came up: nothing new may go there.
-            connection.drop()
+        if not server.ready or server.address != address:
+            # The server drained or moved during the connect: it must get no new requests there.
+            connection.close_immediately()
             attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
         elif attempt.ended:
-            self.keep(server, connection)
+            self.add_idle_connection(server, connection)
         else:
             connection.start(attempt)
 
-    def keep(self, server: Server, connection: _Connection) -> None:
+    def add_idle_connection(self, server: Server, connection: _ServerConnection) -> None:
+        """Keep a connection for reuse, unless its server takes no new requests."""
         if not server.ready:
-            connection.drop()
+            connection.close_immediately()
             return
-        connection.idle_since = monotonic()
+        connection.idle_since_s = monotonic()
         server.idle_connections.append(connection)
 
-    def closed(self, server: Server, connection: _Connection) -> None:
+    def handle_connection_closed(self, server: Server, connection: _ServerConnection) -> None:
+        """Forget a connection that was closed."""
         self._open_connection_count -= 1
         if connection in server.idle_connections:
             server.idle_connections.remove(connection)
 
-    def record_broken_connection(self, rested: float) -> None:
-        """A connection broke under an attempt with no word: free ones may end so early, unseen."""
-        if rested > 0:
-            self._max_idle_s = min(self._max_idle_s, max(SAFE_REUSE_IDLE_S, rested * REUSE_BACK))
+    def record_broken_connection(self, prior_idle_s: float) -> None:
+        """Lower the bound on reuse after a connection broke under an attempt without any response.
 
-    def close_idle_connections(self, number: int) -> None:
-        if server := self._servers.get(number):
-            self._drop_idle(server)
+        `prior_idle_s` is how long it had been idle before: other idle connections may have been dropped
+        after that time, too, without this side noticing. 0, for a new connection, tells nothing.
+        """
+        if prior_idle_s > 0:
+            self._max_idle_s = min(
+                self._max_idle_s, max(SAFE_REUSE_IDLE_S, prior_idle_s * BROKEN_IDLE_FRACTION)
+            )
+
+    def close_idle_connections(self, server_id: int) -> None:
+        """Close the idle connections to a server, if it is known."""
+        if server := self._servers.get(server_id):
+            self._close_idle_connections_to(server)
 
-    def _drop_idle(self, server: Server) -> None:
+    def _close_idle_connections_to(self, server: Server) -> None:
         for connection in server.idle_connections:
-            connection.drop()
+            connection.close_immediately()
         server.idle_connections.clear()
 
-    def _drop_oldest(self) -> bool:
-        """Make room at the bound: the free connection that was unused for longest goes."""
-        holders = [server for server in self._servers.values() if server.idle_connections]
-        if not holders:
+    def _close_longest_idle_connection(self) -> bool:
+        """Close the connection that has been idle for longest; return False if none is idle."""
+        servers_with_idle = [server for server in self._servers.values() if server.idle_connections]
+        if not servers_with_idle:
             return False
-        min(holders, key=lambda server: server.idle_connections[0].idle_since).idle_connections.pop(0).drop()
+        min(
+            servers_with_idle, key=lambda server: server.idle_connections[0].idle_since_s
+        ).idle_connections.pop(0).close_immediately()
         return True
 
     def close_expired_connections(self) -> None:
-        """Drop what has stood idle, before the server does while a request is on its way."""
-        self._max_idle_s = min(self._longest_s, self._max_idle_s * REUSE_RISE)
-        limit = monotonic() - self._max_idle_s
+        """Close connections idle for too long, before the server closes them under a new request.
+
+        This is called at each sweep, and also raises the bound on reuse again.
+        """
+        self._max_idle_s = min(self._initial_max_idle_s, self._max_idle_s * MAX_IDLE_GROWTH_FACTOR)
+        idle_since_limit_s = monotonic() - self._max_idle_s
         for server in self._servers.values():
-            while server.idle_connections and server.idle_connections[0].idle_since < limit:
-                server.idle_connections.pop(0).drop()
+            while server.idle_connections and server.idle_connections[0].idle_since_s < idle_since_limit_s:
+                server.idle_connections.pop(0).close_immediately()
 
     def close(self) -> None:
+        """Cancel the connects under way and close all idle connections."""
         for task in list(self._connect_tasks):
             task.cancel()
         for server in self._servers.values():
-            self._drop_idle(server)
+            self._close_idle_connections_to(server)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,4 +1,7 @@
-"""The outcome table on the wire: an unsafe request goes out again only where it surely never ran."""
+"""The server side over real sockets: how attempts end, and which connections are reused.
+
+A request that is not idempotent gets a 429, which permits a retry, only if it certainly never ran.
+"""
 
 from __future__ import annotations
 
@@ -27,73 +30,75 @@
 from ironstage.net import servers as servers_module
 from ironstage.net.servers import AttemptResult, Servers
 
-DECLINED = "Srv-Declined: 1"
+DECLINED_HEADER = "Srv-Declined: 1"
 
 
-async def ask_once(server: Backend, cls: str = "fix", **headers: str) -> tuple[int, int, bytes]:
-    """The answer to one request, and how often the server got it."""
-    async with running_limiter(host_entry("a", server.address)) as rig:
-        client = await rig.connect()
-        answer = await client.request(build_request(cls, **headers))
-        return answer.status_code, len(server.requests), answer.body
+async def request_once(server: Backend, class_name: str = "fix", **headers: str) -> tuple[int, int, bytes]:
+    """Send one request through a limiter; return status, number of requests at the server, and body."""
+    async with running_limiter(host_entry("a", server.address)) as fixture:
+        client = await fixture.connect()
+        response = await client.request(build_request(class_name, **headers))
+        return response.status_code, len(server.requests), response.body
 
 
 @pytest.mark.parametrize(
-    ("status", "header", "code", "tries"),
+    ("server_status", "header", "client_status_code", "attempt_count"),
     [
         ("200 OK", "X-Other: 1", 200, 1),
         ("500 Internal Server Error", "X-Other: 1", 502, 1),
-        ("503 Service Unavailable", DECLINED, 429, 1),
-        ("504 Gateway Timeout", DECLINED, 429, 1),
+        ("503 Service Unavailable", DECLINED_HEADER, 429, 1),
+        ("504 Gateway Timeout", DECLINED_HEADER, 429, 1),
         ("503 Service Unavailable", "X-Other: 1", 502, 1),
         ("504 Gateway Timeout", "Srv-Declined: 0", 502, 1),
-        ("500 Internal Server Error", DECLINED, 502, 1),
+        ("500 Internal Server Error", DECLINED_HEADER, 502, 1),
         ("404 Not Found", "X-Other: 1", 502, 1),
     ],
 )
-def test_answers(status: str, header: str, code: int, tries: int) -> None:
+def test_server_status_determines_client_status(
+    server_status: str, header: str, client_status_code: int, attempt_count: int
+) -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
-            request.reply(status, b"body", header)
+        async def handler(request: ReceivedRequest) -> None:
+            request.reply(server_status, b"body", header)
 
-        async with backend(script) as server:
-            got = await ask_once(server)
-        assert got == (code, tries, b"body" if code == 200 else b"")
+        async with backend(handler) as server:
+            result = await request_once(server)
+        assert result == (client_status_code, attempt_count, b"body" if client_status_code == 200 else b"")
 
     run(test())
 
 
-def test_what_goes_on() -> None:
+def test_request_and_response_are_forwarded_unchanged() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"\x00\xff" * 30000)
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
-            answer = await client.request(build_request("upload", "id-7", b"\x00payload\xff"))
-            assert answer.body == b"\x00\xff" * 30000
-            [got] = server.requests
-            assert got.request_line == "POST /upload/7?a=%20b HTTP/1.1"
-            assert got.body == b"\x00payload\xff"
-            assert got.headers["req-id"] == "id-7"
-            assert got.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-            assert 0 < float(got.headers["req-deadline"]) <= 90.0
+        async with backend(handler) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
+            response = await client.request(build_request("upload", "id-7", b"\x00payload\xff"))
+            assert response.body == b"\x00\xff" * 30000
+            [received] = server.requests
+            assert received.request_line == "POST /upload/7?a=%20b HTTP/1.1"
+            assert received.body == b"\x00payload\xff"
+            assert received.headers["req-id"] == "id-7"
+            assert received.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+            assert 0 < float(received.headers["req-deadline"]) <= 90.0
 
     run(test())
 
 
-def test_refused_connection() -> None:
+def test_refused_connection_permits_retry() -> None:
     async def test() -> None:
-        async with running_limiter(host_entry("a", unused_address())) as rig:
-            client = await rig.connect()
+        async with running_limiter(host_entry("a", unused_address())) as fixture:
+            client = await fixture.connect()
             assert (await client.request(build_request("fix"))).status_code == 429
 
     run(test())
 
 
 @contextlib.contextmanager
-def deaf_listener() -> Iterator[str]:
-    """An address at which connections never come up: its backlog is full."""
+def unresponsive_listener() -> Iterator[str]:
+    """Yield an address at which connects hang, because the listener's backlog is full."""
     with contextlib.ExitStack() as stack:
         listener = stack.enter_context(socket.socket())
         listener.bind(("127.0.0.1", 0))
@@ -107,82 +112,82 @@
         yield f"{host}:{port}"
 
 
-def test_connection_that_never_comes_up() -> None:
+def test_connect_timeout_permits_retry() -> None:
     async def test() -> None:
-        with deaf_listener() as address:
-            async with running_limiter(host_entry("a", address)) as rig:
-                client = await rig.connect()
+        with unresponsive_listener() as address:
+            async with running_limiter(host_entry("a", address)) as fixture:
+                client = await fixture.connect()
                 assert (await client.request(build_request("fix"))).status_code == 429
 
     run(test())
 
 
-def test_time_out_before_the_connection_is_up() -> None:
+def test_deadline_during_connect_permits_retry() -> None:
     async def test() -> None:
-        with deaf_listener() as address:
-            async with running_limiter(host_entry("a", address), connect_timeout_s=20.0) as rig:
-                client = await rig.connect()
+        with unresponsive_listener() as address:
+            async with running_limiter(host_entry("a", address), connect_timeout_s=20.0) as fixture:
+                client = await fixture.connect()
                 assert (await client.request(build_request("fix", Req_Deadline="0.2"))).status_code == 429
 
     run(test())
 
 
-def test_break_after_the_last_byte() -> None:
+def test_reset_after_the_whole_request_permits_no_retry() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reset_connection()
 
-        async with backend(script) as server:
-            assert (await ask_once(server))[:2] == (502, 1)
+        async with backend(handler) as server:
+            assert (await request_once(server))[:2] == (502, 1)
 
     run(test())
 
 
-def test_answer_cut_short() -> None:
+def test_truncated_response_permits_no_retry() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
             request.writer.close()
 
-        async with backend(script) as server:
-            assert await ask_once(server) == (502, 1, b"")
+        async with backend(handler) as server:
+            assert await request_once(server) == (502, 1, b"")
 
     run(test())
 
 
-SPOILT = {
-    "noise": b"\x00\x01\x02 nonsense\r\n\r\n",
-    "no number": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
-    "two lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok",
-    "negative": b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
+INVALID_RESPONSES = {
+    "not HTTP": b"\x00\x01\x02 nonsense\r\n\r\n",
+    "invalid status code": b"HTTP/1.1 2x0 OK\r\nContent-Length: 2\r\n\r\nok",
+    "conflicting lengths": b"HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nok",
+    "negative length": b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\nok",
     "no length": b"HTTP/1.1 200 OK\r\n\r\nperhaps half",
-    "both": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-    "chunk": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n",
-    "half a head": b"HTTP/1.1 200 OK\r\nContent-Le",
-    "half a body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
-    "endless head": b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppp\r\n" * 2000,
-    "endless interim": b"HTTP/1.1 102 Processing\r\n\r\n" * 1000,
-    "huge": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
-    "huge chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + b"x" * 70000,
+    "two framings": b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
+    "invalid chunk size": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n",
+    "incomplete head": b"HTTP/1.1 200 OK\r\nContent-Le",
+    "incomplete body": b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+    "head too large": b"HTTP/1.1 200 OK\r\n" + b"X-Pad: pppp\r\n" * 2000,
+    "endless interim responses": b"HTTP/1.1 102 Processing\r\n\r\n" * 1000,
+    "length too large": b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nok",
+    "chunks too large": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n20000\r\n" + b"x" * 70000,
 }
 
 
-@pytest.mark.parametrize("raw", SPOILT.values(), ids=SPOILT.keys())
-def test_spoilt_answer(raw: bytes) -> None:
-    """Its attempt ends at once as one that may have run; the server stays in use and the rest is not read."""
+@pytest.mark.parametrize("raw", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
+def test_invalid_response_permits_no_retry_and_keeps_server(raw: bytes) -> None:
+    """The attempt fails at once, as it may have run; the rest is not read and the server stays in use."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             if len(server.requests) == 1:
                 request.writer.write(raw)
                 await request.wait_closed()
             else:
                 request.reply(body=b"good")
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
-            assert (await client.request(build_request("fix", "spoilt"))).status_code == 502
-            assert not rig.limiter._gateway.fleet.suspects
+        async with backend(handler) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
+            assert (await client.request(build_request("fix", "invalid"))).status_code == 502
+            assert not fixture.limiter._gateway.fleet.suspects
             assert (await client.request(build_request("fix", "next"))).body == b"good"
             assert len(server.requests) == 2
 
@@ -196,68 +201,68 @@
         b"HTTP/1.1 100 Continue\r\nX-Early: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwholeHTTP/1.1 500 X\r\nContent-Length: 1\r\n\r\nx",
     ],
-    ids=["chunked", "interim answer", "bytes behind it"],
+    ids=["chunked", "interim response", "bytes after the response"],
 )
-def test_framing(raw: bytes) -> None:
+def test_valid_framing_is_accepted(raw: bytes) -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.writer.write(raw)
 
-        async with backend(script) as server:
-            assert await ask_once(server) == (200, 1, b"whole")
+        async with backend(handler) as server:
+            assert await request_once(server) == (200, 1, b"whole")
 
     run(test())
 
 
-def test_interim_answer_long_before(monkeypatch: pytest.MonkeyPatch) -> None:
-    """It says nothing of when the final one begins, and does not count as one that stopped short."""
+def test_interim_response_long_before_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An interim response starts no timeout, as it does not tell when the final one begins."""
     monkeypatch.setattr(servers_module, "PARTIAL_RESPONSE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.writer.write(b"HTTP/1.1 102 Processing\r\n\r\n")
             await asyncio.sleep(0.2)
             request.reply(body=b"whole")
 
-        async with backend(script) as server:
-            assert await ask_once(server) == (200, 1, b"whole")
+        async with backend(handler) as server:
+            assert await request_once(server) == (200, 1, b"whole")
 
     run(test())
 
 
-def test_answer_of_the_largest_size() -> None:
-    """The head is not counted with the body, however they arrive."""
+def test_response_of_the_largest_size_is_accepted() -> None:
+    """The size of the head does not count towards the limit on the body, even if they arrive together."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             head = b"HTTP/1.1 200 OK\r\nX-Pad: " + b"p" * 15000 + b"\r\nContent-Length: 65536\r\n\r\n"
             request.writer.write(head + b"x" * 50000)
             await asyncio.sleep(0.05)
             request.writer.write(b"x" * 15536)
 
-        async with backend(script) as server:
-            assert (await ask_once(server))[:2] == (200, 1)
+        async with backend(handler) as server:
+            assert (await request_once(server))[:2] == (200, 1)
 
     run(test())
 
 
-def test_answer_too_large() -> None:
+def test_response_too_large_is_an_error() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"x" * 200_000)
 
-        async with backend(script) as server:
-            assert await ask_once(server) == (502, 1, b"")
+        async with backend(handler) as server:
+            assert await request_once(server) == (502, 1, b"")
 
     run(test())
 
 
-def test_silent_server() -> None:
-    """Its attempt ends in time, its connection is closed, and the client hears before it gives up."""
+def test_unresponsive_server_times_out() -> None:
+    """The attempt times out, its connection is closed, and the client gets an answer before its deadline."""
 
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             client.send(build_request("fix", Req_Deadline="0.3"))
             request = await server.request_queue.get()
             assert (await client.read_response()).status_code == 502
@@ -267,15 +272,18 @@
     run(test())
 
 
-async def outcome(servers: Servers, number: int, raw: bytes, seconds: float = 20.0) -> AttemptResult:
+async def send_and_wait(
+    servers: Servers, server_id: int, message: bytes, timeout_s: float = 20.0
+) -> AttemptResult:
+    """Send a request to a server and wait for the attempt's result."""
     loop = asyncio.get_running_loop()
     ended: asyncio.Future[AttemptResult] = loop.create_future()
-    servers.send(number, raw, loop.time() + seconds, ended.set_result)
+    servers.send(server_id, message, loop.time() + timeout_s, ended.set_result)
     return await ended
 
 
 class Listener:
-    """A server's side by hand: plain sockets, so that the test decides what the kernel holds."""
+    """A server on plain sockets, so that the test controls what the kernel has received."""
 
     def __init__(self) -> None:
         self.socket = socket.create_server(("127.0.0.1", 0))
@@ -290,58 +298,58 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
-@pytest.mark.parametrize("timed_out", [False, True], ids=["broken", "timed out"])
-def test_before_the_last_byte(timed_out: bool) -> None:
-    """What the socket could not take whole never ran, however it ends."""
+@pytest.mark.parametrize("timed_out", [False, True], ids=["connection closed", "timed out"])
+def test_partially_written_request_counts_as_not_sent(timed_out: bool) -> None:
+    """A request that was not written whole never ran, however its attempt ends."""
 
     async def test() -> None:
         listener, servers = Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
-        large = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
-        task = asyncio.create_task(outcome(servers, 1, large, 0.3 if timed_out else 20.0))
-        peer = await listener.accept()
-        await asyncio.get_running_loop().sock_recv(peer, 100)
+        large_request = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
+        task = asyncio.create_task(send_and_wait(servers, 1, large_request, 0.3 if timed_out else 20.0))
+        connection = await listener.accept()
+        await asyncio.get_running_loop().sock_recv(connection, 100)
         if not timed_out:
-            peer.close()
+            connection.close()
         assert (await task).status is CallStatus.CONNECT_FAILED
 
     run(test())
 
 
-def test_kept_connection_closed_unnoticed() -> None:
-    """The server has closed but the loop has not heard: the request goes over a new connection."""
+def test_idle_connection_closed_by_server_is_replaced() -> None:
+    """An idle connection whose close the event loop has not processed yet is replaced by a new one."""
 
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
-        first = asyncio.create_task(outcome(servers, 1, REQUEST))
-        peer = await listener.accept()
-        await loop.sock_recv(peer, 100)
-        peer.send(OK)
+        first = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
+        connection = await listener.accept()
+        await loop.sock_recv(connection, 100)
+        connection.send(OK)
         assert (await first).status is CallStatus.OK
-        peer.close()
+        connection.close()
         ended: asyncio.Future[AttemptResult] = loop.create_future()
-        servers.send(1, REQUEST, loop.time() + 20, ended.set_result)  # no turn of the loop between
-        peer = await listener.accept()
-        assert await loop.sock_recv(peer, 100) == REQUEST
-        peer.send(OK)
+        servers.send(1, REQUEST, loop.time() + 20, ended.set_result)  # before the event loop runs again
+        connection = await listener.accept()
+        assert await loop.sock_recv(connection, 100) == REQUEST
+        connection.send(OK)
         assert (await ended).status is CallStatus.OK
 
     run(test())
 
 
-def test_stale_kept_connection() -> None:
-    """A request that crosses the close is reported, never sent again: it may have run."""
+def test_reset_of_reused_connection_permits_no_retry() -> None:
+    """A request on a reused connection that is reset is not sent again: it may have run."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             if len(server.requests) == 1:
                 request.reply(body=b"first")
             else:
                 request.reset_connection()
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend(handler) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             assert (await client.request(build_request("fix", "one"))).status_code == 200
             assert (await client.request(build_request("fix", "two"))).status_code == 502
             assert [request.connection_number for request in server.requests] == [1, 1]
@@ -349,15 +357,15 @@
     run(test())
 
 
-def test_bytes_on_a_free_connection() -> None:
-    """An answer to nothing must not become the answer to the next request."""
+def test_unsolicited_bytes_close_idle_connection() -> None:
+    """An unsolicited response on an idle connection must not become the response to the next request."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"own")
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend(handler) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             assert (await client.request(build_request("fix", "one"))).body == b"own"
             server.requests[0].reply(body=b"stray")
             await server.requests[0].wait_closed()
@@ -367,186 +375,194 @@
     run(test())
 
 
-def test_given_up_before_the_next_attempt() -> None:
-    """The server sees the first attempt's connection end before a second copy can reach it."""
+def test_cancel_closes_connection_at_once() -> None:
+    """The server sees the connection of a cancelled attempt close before another attempt can reach it."""
 
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
         ended: asyncio.Future[AttemptResult] = loop.create_future()
         attempt = servers.send(1, REQUEST, loop.time() + 20, ended.set_result)
-        peer = await listener.accept()
-        await loop.sock_recv(peer, 100)
+        connection = await listener.accept()
+        await loop.sock_recv(connection, 100)
         attempt.cancel()
-        assert peer.recv(1) == b""  # at once, without a turn of the loop
+        assert connection.recv(1) == b""  # at once, before the event loop runs again
         assert (await ended).status is CallStatus.CANCELLED
 
     run(test())
 
 
-def test_latest_used_first_and_idle_dropped() -> None:
+def test_expired_idle_connections_are_closed() -> None:
     async def test() -> None:
         async with backend() as server:
             servers = Servers(10, 1.0, 0.2)
-            dial, port = server.address.split(":")
-            servers.add_or_update(1, (dial, int(port)), True)
-            tasks = [asyncio.create_task(outcome(servers, 1, REQUEST)) for _ in range(2)]
-            held = [await server.request_queue.get() for _ in tasks]
-            held[0].reply()
-            held[1].reply()
+            host, port = server.address.split(":")
+            servers.add_or_update(1, (host, int(port)), True)
+            tasks = [asyncio.create_task(send_and_wait(servers, 1, REQUEST)) for _ in range(2)]
+            requests = [await server.request_queue.get() for _ in tasks]
+            requests[0].reply()
+            requests[1].reply()
             await asyncio.gather(*tasks)
             servers.close_expired_connections()
             assert server.connection_count == 2
-            closed = [asyncio.create_task(request.wait_closed()) for request in held]
-            while not all(task.done() for task in closed):
+            close_tasks = [asyncio.create_task(request.wait_closed()) for request in requests]
+            while not all(task.done() for task in close_tasks):
                 servers.close_expired_connections()
                 await asyncio.sleep(0.01)
 
     run(test())
 
 
-def test_bound_on_connections() -> None:
-    """At the bound a free connection of another server makes room; without one the attempt fails."""
+def test_connection_limit() -> None:
+    """At the limit an idle connection to another server is closed; if none is idle, the attempt fails."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply()
 
-        async with backend(script) as one, backend() as two:
+        async with backend(handler) as server_a, backend() as server_b:
             servers = Servers(1, 1.0, 30.0)
-            for number, server in enumerate((one, two)):
-                name, port = server.address.split(":")
-                servers.add_or_update(number, (name, int(port)), True)
-            assert (await outcome(servers, 0, REQUEST)).status is CallStatus.OK
-            task = asyncio.create_task(outcome(servers, 1, REQUEST))
-            await one.requests[0].wait_closed()
-            held = await two.request_queue.get()
-            assert (await outcome(servers, 0, REQUEST)).status is CallStatus.CONNECT_FAILED
-            held.reply()
+            for server_id, server in enumerate((server_a, server_b)):
+                host, port = server.address.split(":")
+                servers.add_or_update(server_id, (host, int(port)), True)
+            assert (await send_and_wait(servers, 0, REQUEST)).status is CallStatus.OK
+            task = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
+            await server_a.requests[0].wait_closed()
+            pending_request = await server_b.request_queue.get()
+            assert (await send_and_wait(servers, 0, REQUEST)).status is CallStatus.CONNECT_FAILED
+            pending_request.reply()
             assert (await task).status is CallStatus.OK
 
     run(test())
 
 
-def test_probe_and_usage() -> None:
-    """The metered use and a load report come with the reply; nonsense in their place says nothing."""
+def test_usage_and_load_report_are_read_from_headers() -> None:
+    """The result holds the metered use and the load report; an invalid use counts as no reading."""
 
     async def test() -> None:
         headers = iter(
             [["X-RateLimit-Used: 85", 'Srv-Load: {"inflight":7,"qps":3}'], ["X-RateLimit-Used: 1e300"]]
         )
 
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply("200 OK", b"", *next(headers))
 
-        async with backend(script) as server:
+        async with backend(handler) as server:
             servers = Servers(10, 1.0, 30.0)
-            name, port = server.address.split(":")
-            servers.add_or_update(1, (name, int(port)), True)
-            reply = await outcome(servers, 1, REQUEST)
-            assert (reply.usage_percent, reply.load_report) == (85, b'{"inflight":7,"qps":3}')
-            reply = await outcome(servers, 1, REQUEST)
-            assert (reply.usage_percent, reply.load_report) == (None, b"")
+            host, port = server.address.split(":")
+            servers.add_or_update(1, (host, int(port)), True)
+            result = await send_and_wait(servers, 1, REQUEST)
+            assert (result.usage_percent, result.load_report) == (85, b'{"inflight":7,"qps":3}')
+            result = await send_and_wait(servers, 1, REQUEST)
+            assert (result.usage_percent, result.load_report) == (None, b"")
             await wait_until(lambda: server.connection_count == 1)
 
     run(test())
 
 
-def test_counts_after_every_kind_of_end() -> None:
-    """However attempts end, the module holds no request, count or connection that the sockets do not."""
+def test_every_kind_of_attempt_end_leaves_no_state() -> None:
+    """However attempts end, neither decision module nor sockets keep a request, count or connection."""
 
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             match request.headers["req-id"].partition("-")[0]:
                 case "ok":
                     request.reply(body=b"ok")
                 case "error":
                     request.reply("500 Internal Server Error")
                 case "declined":
-                    request.reply("503 Service Unavailable", b"", DECLINED)
+                    request.reply("503 Service Unavailable", b"", DECLINED_HEADER)
                 case "reset":
                     request.reset_connection()
-                case "spoilt":
+                case "invalid":
                     request.writer.write(b"nonsense\r\n\r\n")
                     await request.wait_closed()
-                case "short":
+                case "truncated":
                     request.writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf")
                     await request.wait_closed()
                 case _:
                     await request.wait_closed()
 
-        async with backend(script) as server, discovery_agent() as watched:
+        async with backend(handler) as server, discovery_agent() as agent:
             hosts = (
                 host_entry("a", server.address),
                 host_entry("b", server.address),
                 host_entry("c", unused_address()),
             )
-            async with running_limiter(*hosts, agent=watched) as rig:
-                await watched.watch_queries.get()
-                kinds = ("ok", "error", "declined", "reset", "spoilt", "short", "silent")
-                made = []
-                for n, kind in enumerate(kinds * 6):
-                    made.append(await rig.connect())
-                    cls = ("read", "upload", "fix")[n % 3]
-                    made[-1].send(build_request(cls, f"{kind}-{n}", Req_Deadline="0.5"))
-                hung_up = [await rig.connect() for _ in range(5)]
-                for n, client in enumerate(hung_up):
-                    client.send(build_request("fix", f"silent-h{n}"))
-                await wait_until(lambda: rig.limiter.open_request_count >= 5)
-                for client in hung_up:
+            async with running_limiter(*hosts, agent=agent) as fixture:
+                await agent.watch_queries.get()
+                kinds = ("ok", "error", "declined", "reset", "invalid", "truncated", "silent")
+                clients = []
+                for index, kind in enumerate(kinds * 6):
+                    clients.append(await fixture.connect())
+                    class_name = ("read", "upload", "fix")[index % 3]
+                    clients[-1].send(build_request(class_name, f"{kind}-{index}", Req_Deadline="0.5"))
+                closing_clients = [await fixture.connect() for _ in range(5)]
+                for index, client in enumerate(closing_clients):
+                    client.send(build_request("fix", f"silent-h{index}"))
+                await wait_until(lambda: fixture.limiter.open_request_count >= 5)
+                for client in closing_clients:
                     client.close()
-                watched.send_line(
-                    host_list(2, host_entry("d", server.address))
-                )  # the others are gone in mid-flight
-                assert {(await client.read_response()).status_code for client in made} <= {200, 429, 502}
-                gateway, sockets = rig.limiter._gateway, rig.limiter._servers
-                await wait_until(lambda: not gateway.requests and not rig.limiter._requests)
-                await wait_until(lambda: not sockets._connect_tasks)
-                slots = Counter(lane for _, lane in gateway.running)  # of work given up
+                # The other servers are gone while their attempts are outstanding.
+                agent.send_line(host_list(2, host_entry("d", server.address)))
+                assert {(await client.read_response()).status_code for client in clients} <= {200, 429, 502}
+                gateway, servers = fixture.limiter._gateway, fixture.limiter._servers
+                await wait_until(lambda: not gateway.requests and not fixture.limiter._requests)
+                await wait_until(lambda: not servers._connect_tasks)
+                # An abandoned attempt may still run at its server, and holds a slot of its lane meanwhile.
+                slots = Counter(lane for _, lane in gateway.running)
                 assert gateway.count == [slots[0], slots[1]]
-                assert (rig.limiter.open_request_count, rig.limiter._open_client_request_ids) == (0, set())
+                assert (fixture.limiter.open_request_count, fixture.limiter._open_client_request_ids) == (
+                    0,
+                    set(),
+                )
                 assert all(customer.out == 0 for customer in gateway.customers.values())
                 assert [peer.waiting for peer in gateway.fleet.peers.values()] == [0]
-                sockets.close()
-                await wait_until(lambda: sockets._open_connection_count == 0)
+                servers.close()
+                await wait_until(lambda: servers._open_connection_count == 0)
 
     run(test())
 
 
-async def free_before(server: Backend, rested: float, cls: str) -> list[int]:
-    """The connections of two requests of a class, the second sent when the first's had rested so long."""
-    async with running_limiter(host_entry("a", server.address)) as rig:
-        client = await rig.connect()
-        assert (await client.request(build_request(cls, "one"))).body == b"own"
-        [kept] = next(iter(rig.limiter._servers._servers.values())).idle_connections
-        kept.idle_since -= rested
-        assert (await client.request(build_request(cls, "two"))).body == b"own"
+async def connections_used(server: Backend, idle_s: float, class_name: str) -> list[int]:
+    """Send two requests of a class, the second after the first one's connection was idle for `idle_s`.
+
+    Return the numbers of the connections that they used.
+    """
+    async with running_limiter(host_entry("a", server.address)) as fixture:
+        client = await fixture.connect()
+        assert (await client.request(build_request(class_name, "one"))).body == b"own"
+        [idle_connection] = next(iter(fixture.limiter._servers._servers.values())).idle_connections
+        idle_connection.idle_since_s -= idle_s
+        assert (await client.request(build_request(class_name, "two"))).body == b"own"
         return [request.connection_number for request in server.requests]
 
 
 @pytest.mark.parametrize(
-    ("cls", "rested", "connections"),
+    ("class_name", "idle_s", "connections"),
     [
-        ("fix", servers_module.SAFE_REUSE_IDLE_S, [1, 2]),  # a reset could not be made good
+        ("fix", servers_module.SAFE_REUSE_IDLE_S, [1, 2]),  # can't be retried after a reset
         ("read", servers_module.SAFE_REUSE_IDLE_S, [1, 1]),
         ("read", 14.0, [1, 1]),
-        ("read", 15.0, [1, 2]),  # half of what the settings say
+        ("read", 15.0, [1, 2]),  # half of the servers' idle timeout of 30 s
     ],
 )
-def test_how_long_a_free_connection_stays_of_use(cls: str, rested: float, connections: list[int]) -> None:
+def test_how_long_an_idle_connection_is_reused(
+    class_name: str, idle_s: float, connections: list[int]
+) -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"own")
 
-        async with backend(script) as server:
-            assert await free_before(server, rested, cls) == connections
+        async with backend(handler) as server:
+            assert await connections_used(server, idle_s, class_name) == connections
 
     run(test())
 
 
-def test_a_free_connection_found_dead_shortens_the_stay_of_others_for_a_while() -> None:
+def test_broken_reused_connection_lowers_the_reuse_bound_for_a_while() -> None:
     servers = Servers(10, 1.0, 30.0)
-    servers.record_broken_connection(0.0)  # broke under its first attempt: says nothing of free ones
+    servers.record_broken_connection(0.0)  # a new connection: tells nothing about idle ones
     assert servers._max_idle_s == 15.0
     servers.record_broken_connection(8.0)
     assert servers._max_idle_s == 4.0
@@ -557,21 +573,21 @@
     assert servers._max_idle_s == 15.0
 
 
-def test_a_break_without_a_word_under_a_kept_connection_is_learnt() -> None:
+def test_reset_without_response_on_reused_connection_lowers_the_reuse_bound() -> None:
     async def test() -> None:
-        async def script(request: ReceivedRequest) -> None:
+        async def handler(request: ReceivedRequest) -> None:
             if request.headers["req-id"] == "two":
                 request.reset_connection()
             else:
                 request.reply(body=b"own")
 
-        async with backend(script) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend(handler) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             assert (await client.request(build_request("read", "one"))).body == b"own"
-            sockets = rig.limiter._servers
-            [kept] = next(iter(sockets._servers.values())).idle_connections
-            kept.idle_since -= 2.0
+            servers = fixture.limiter._servers
+            [idle_connection] = next(iter(servers._servers.values())).idle_connections
+            idle_connection.idle_since_s -= 2.0
             await client.request(build_request("read", "two"))
-            assert 1.0 <= sockets._max_idle_s < 2.0
+            assert 1.0 <= servers._max_idle_s < 2.0
 
     run(test())
