--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -24,7 +24,7 @@
 
 MAX_BODY_BYTES = 64 * 1024
 MAX_HEAD_BYTES = 16 * 1024
-# A connection is reused within this fraction of the servers' idle timeout, as their clocks may differ.
+# A connection is reused within this fraction of the servers' idle timeout: clocks need not agree exactly.
 IDLE_TIMEOUT_FRACTION = 0.5
 SAFE_REUSE_IDLE_S = 0.05  # no server closes a connection that has been idle for less
 # After a connection broke that had been idle for a time t, others are reused up to this fraction of t.
