--- a/ironstage/__main__.py
+++ b/ironstage/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m ironstage`: one limiter, until SIGTERM."""
+"""Entry point of `python -m ironstage`: runs one limiter until SIGTERM or SIGINT."""
 
 from __future__ import annotations
 
@@ -19,35 +19,40 @@
 
 log = logging.getLogger("ironstage")
 
-SWEEP_S = 0.25
+STALE_CONNECTION_CHECK_INTERVAL_S = 0.25
 
 
-async def _sweep(limiter: Limiter, clients: Clients) -> None:
+async def _close_stale_connections(limiter: Limiter, clients: Clients) -> None:
+    """Close idle server connections and stalled client connections, at regular intervals."""
     while True:
-        await asyncio.sleep(SWEEP_S)
+        await asyncio.sleep(STALE_CONNECTION_CHECK_INTERVAL_S)
         limiter.close_expired_connections()
         clients.close_stalled_connections()
 
 
-def _reload(watch: Watch) -> None:
-    """Take up the replaced file; one that can't be read leaves all as it is."""
+def _handle_reload_signal(watch: Watch) -> None:
+    """Watch discovery at the address in the replaced configuration file; ignore an invalid file."""
     try:
         address = configuration.reload_discovery_address(os.environ)
     except configuration.ConfigError as error:
-        log.error("the configuration stays as it was: %s", error)
+        log.error("configuration not reloaded: %s", error)
         return
-    log.info("discovery is at %s:%d", *address)
+    log.info("configuration reloaded: discovery is at %s:%d", *address)
     watch.change_address(address)
 
 
 async def serve(config: configuration.Config) -> None:
-    """Serve until told to end, then finish what was taken."""
-    loop, stop = asyncio.get_running_loop(), asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    """Serve until a stop signal, then finish the open requests."""
+    loop, stop_event = asyncio.get_running_loop(), asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_event.set)
     limiter = Limiter(config)
-    most = int((config.sockets - RESERVED_DESCRIPTOR_COUNT) * (1 - SERVER_CONNECTION_FRACTION))
-    clients = Clients(limiter, config.settings, config.listen, most, config.max_buffered_body_bytes)
+    max_client_connections = int(
+        (config.sockets - RESERVED_DESCRIPTOR_COUNT) * (1 - SERVER_CONNECTION_FRACTION)
+    )
+    clients = Clients(
+        limiter, config.settings, config.listen, max_client_connections, config.max_buffered_body_bytes
+    )
     watch = Watch(
         config.discovery,
         limiter.apply_host_list,
@@ -55,12 +60,12 @@
         count_discovery_clients(config.settings),
     )
     watch.seq = limiter.cached_list_seq
-    loop.add_signal_handler(signal.SIGHUP, _reload, watch)
-    tasks = [loop.create_task(watch.run()), loop.create_task(_sweep(limiter, clients))]
+    loop.add_signal_handler(signal.SIGHUP, _handle_reload_signal, watch)
+    tasks = [loop.create_task(watch.run()), loop.create_task(_close_stale_connections(limiter, clients))]
     clients.listen()
-    log.info("%s listens at %s:%d", config.name, *clients.address)
-    await stop.wait()
-    log.info("draining")
+    log.info("%s is listening on %s:%d", config.name, *clients.address)
+    await stop_event.wait()
+    log.info("stop signal received; finishing the open requests")
     await clients.drain()
     for task in tasks:
         task.cancel()
@@ -68,13 +73,14 @@
 
 
 def main() -> int:
+    """Run a limiter; return the exit status: 0 after a stop signal, 2 for an invalid configuration."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         config = configuration.load(os.environ)
     except configuration.ConfigError as error:
-        log.error("%s", error)
+        log.error("limiter not started: %s", error)
         return 2
-    # The start's objects stay for good; searching them again and again would stall requests.
+    # Objects created at startup stay until exit; scanning them in every collection would delay requests.
     gc.freeze()
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         runner.run(serve(config))
--- a/ironstage/net/__init__.py
+++ b/ironstage/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real limiter round the decision module: sockets, clocks and timers, no policy."""
+"""The network side of the limiter: sockets, clocks and timers. `ironstage.policy` makes the decisions."""
--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -1,4 +1,4 @@
-"""What a limiter is told at its start: the `GW_*` variables and the JSON file they name."""
+"""The configuration of a limiter: the `GW_*` environment variables and the JSON file named by `GW_CONFIG`."""
 
 from __future__ import annotations
 
@@ -12,76 +12,98 @@
 
 Address = tuple[str, int]
 
-SOCKETS = 1024  # descriptors; what DEPLOY grants on the days that count, where the file is silent
-LEAST_SOCKETS = 64  # for the loop, the listener, discovery, and some connections either way
-MEMORY_MB = 192.0  # what DEPLOY grants at most on those days
-PROGRAM_MB = 20.0  # of the memory; the program itself with all its tables (14 MB seen on the long day)
-BODY_COPIES = 4  # of a body at a time: its pieces, the whole, the message to a server, what is unsent of it
-LEAST_BODIES = 1 << 20  # bytes
-CONNECT_MS = 250.0
-IDLE_MS = 15_000.0
-ADVICE_MS = 500.0  # a client is told to stay away for so long at most
-MAX_OPEN = 1000  # requests in hand: with bodies of 64 KiB at either end they stay within the memory
+# Limits that apply if the file states none: what the deployment grants a limiter in production.
+DEFAULT_SOCKET_COUNT = 1024  # file descriptors
+DEFAULT_MEMORY_MB = 192.0  # the most that the deployment grants
+
+MIN_SOCKET_COUNT = 64  # the event loop, the listener, discovery, and some connections to either side
+BASE_MEMORY_MB = 20.0  # for the program with all its tables, which used 14 MB in the longest load run
+# Copies of a body held at a time: its received pieces, the joined body, the message to a server, and the part
+# of that message that is not yet sent.
+BODY_COPY_COUNT = 4
+MIN_BUFFERED_BODY_BYTES = 1 << 20
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+DEFAULT_SERVER_IDLE_TIMEOUT_MS = 15_000.0
+DEFAULT_MAX_RETRY_AFTER_MS = 500.0
+# Default and upper bound: with request and response bodies of 64 KiB, so many requests fit into the memory.
+MAX_OPEN_REQUEST_COUNT = 1000
 
 
 class ConfigError(ValueError):
-    """A variable or file that does not describe a limiter; says what is wrong."""
+    """An environment variable or the configuration file is missing or invalid."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """The configuration of a limiter.
+
+    `sockets` is the number of file descriptors that the limiter may use. `max_buffered_body_bytes` bounds
+    the client request bodies held at a time, and `max_open` the requests without an answer. The ids of the
+    `zones` are their positions. A server closes a connection that has been idle for
+    `server_idle_timeout_s`. `known` is the last known list of servers,
+    in discovery's JSON format.
+    """
+
     name: str
     listen: Address
     discovery: Address
     seed: int
     sockets: int
-    max_buffered_body_bytes: int  # of clients' bodies held at a time
+    max_buffered_body_bytes: int
     max_open: int
     settings: api.Settings
     zones: tuple[str, ...]
     connect_timeout_s: float
-    server_idle_timeout_s: float  # a server closes a connection that has stood idle for so long
-    known: Any  # the last list of servers, in discovery's form
+    server_idle_timeout_s: float
+    known: Any
 
 
 def parse_address(text: object) -> Address:
-    """`host:port` with a literal address; an IPv6 one stands in brackets."""
+    """Parse `host:port`, where the host is a literal IP address, an IPv6 one in brackets."""
     if not isinstance(text, str):
-        raise ConfigError(f"not an address: {text!r}")
+        raise ConfigError(f"address is missing or not a string: {text!r}")
     host, colon, port = text.rpartition(":")
     if not colon or not host or not port.isdecimal() or not 0 <= int(port) < 65536:
-        raise ConfigError(f"not an address of the form host:port: {text!r}")
+        raise ConfigError(f"address is not of the form host:port: {text!r}")
     return host.strip("[]"), int(port)
 
 
-def _object(raw: Any, key: str) -> dict[str, Any]:
+def _get_object(raw: Any, key: str) -> dict[str, Any]:
+    """Return the JSON object under a key, empty if the key is missing."""
     value = raw.get(key, {})
     if not isinstance(value, dict):
-        raise ConfigError(f"{key} is not an object")
+        raise ConfigError(f"{key} is not a JSON object")
     return value
 
 
-def _number(raw: dict[str, Any], key: str, default: float, least: float = 0.0) -> float:
+def _get_number(raw: dict[str, Any], key: str, default: float, minimum: float = 0.0) -> float:
+    """Return the number under a key: above 0, at least `minimum` and below `SETTING_VALUE_LIMIT`."""
     value = raw.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < SETTING_VALUE_LIMIT:
-        raise ConfigError(f"{key} is not a number above 0, or beyond sense")
-    if value < least:
-        raise ConfigError(f"{key} is {value}, under the {least:g} that a limiter needs")
+        raise ConfigError(f"{key} is not a number above 0 or is too large")
+    if value < minimum:
+        raise ConfigError(f"{key} is {value}, below the minimum of {minimum:g}")
     return float(value)
 
 
-def _body_bytes(memory_mb: float) -> int:
-    return max(LEAST_BODIES, int((memory_mb - PROGRAM_MB) * (1 << 20) / BODY_COPIES))
+def _max_buffered_body_bytes(memory_mb: float) -> int:
+    """Return how many bytes of client request bodies may be held at a time.
 
+    The memory limit must hold every copy of a body; `MIN_BUFFERED_BODY_BYTES` are allowed in any case.
+    """
+    return max(MIN_BUFFERED_BODY_BYTES, int((memory_mb - BASE_MEMORY_MB) * (1 << 20) / BODY_COPY_COUNT))
 
-def _seed(text: object) -> int:
+
+def _parse_seed(text: object) -> int:
+    """Parse the seed of the random number generators."""
     try:
         return int(str(text), 16)
     except ValueError:
         raise ConfigError(f"seed is not a hexadecimal number: {text!r}") from None
 
 
-def _read(environ: Mapping[str, str]) -> dict[str, Any]:
+def _read_file(environ: Mapping[str, str]) -> dict[str, Any]:
+    """Read the JSON file that `GW_CONFIG` names."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
@@ -89,24 +111,27 @@
         with open(path, "rb") as file:
             raw = json.load(file)
     except (OSError, ValueError) as error:
-        raise ConfigError(f"{path}: {error}") from None
+        raise ConfigError(f"cannot read the configuration file {path}: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError(f"{path}: not an object")
+        raise ConfigError(f"configuration file {path} is not a JSON object")
     return raw
 
 
 def reload_discovery_address(environ: Mapping[str, str]) -> Address:
-    """Where a replaced file puts discovery. The variable is as old as the start and no longer counts."""
-    return parse_address(_read(environ).get("discovery"))
+    """Return the address of discovery in the configuration file, after the file was replaced.
+
+    `GW_DISCOVERY` is ignored: the environment still holds the value from the start of the process.
+    """
+    return parse_address(_read_file(environ).get("discovery"))
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """The configuration; the variables stand above the file's entries of the same meaning."""
-    raw = _read(environ)
-    settings, limits = _object(raw, "settings"), _object(raw, "limits")
-    ceilings = _object(settings, "ceilings")
+    """Load the configuration; `GW_NAME`, `GW_LISTEN` and `GW_DISCOVERY` override the file's entries."""
+    raw = _read_file(environ)
+    settings, limits = _get_object(raw, "settings"), _get_object(raw, "limits")
+    ceilings = _get_object(settings, "ceilings")
     try:
-        decoded = parse_settings(json.dumps(settings).encode())
+        parsed_settings = parse_settings(json.dumps(settings).encode())
     except ProtocolError as error:
         raise ConfigError(str(error)) from None
     zones = settings.get("zones", [])
@@ -114,14 +139,17 @@
         name=environ.get("GW_NAME") or str(raw.get("name", "")),
         listen=parse_address(environ.get("GW_LISTEN") or raw.get("listen")),
         discovery=parse_address(environ.get("GW_DISCOVERY") or raw.get("discovery")),
-        seed=_seed(raw.get("seed", "0")),
-        sockets=int(_number(limits, "sockets", SOCKETS, LEAST_SOCKETS)),
-        max_buffered_body_bytes=_body_bytes(_number(limits, "memory_mb", MEMORY_MB)),
-        max_open=int(min(MAX_OPEN, _number(ceilings, "maxOpen", MAX_OPEN))),
-        # On sockets a refusal may always tell when to come back, whatever the simulator's clients hear.
-        settings=replace(decoded, max_retry_after_ms=_number(ceilings, "maxRetryAfterMs", ADVICE_MS)),
+        seed=_parse_seed(raw.get("seed", "0")),
+        sockets=int(_get_number(limits, "sockets", DEFAULT_SOCKET_COUNT, MIN_SOCKET_COUNT)),
+        max_buffered_body_bytes=_max_buffered_body_bytes(_get_number(limits, "memory_mb", DEFAULT_MEMORY_MB)),
+        max_open=int(min(MAX_OPEN_REQUEST_COUNT, _get_number(ceilings, "maxOpen", MAX_OPEN_REQUEST_COUNT))),
+        # Over HTTP a refusal may always carry Retry-After; only in the simulator may the settings forbid it.
+        settings=replace(
+            parsed_settings,
+            max_retry_after_ms=_get_number(ceilings, "maxRetryAfterMs", DEFAULT_MAX_RETRY_AFTER_MS),
+        ),
         zones=tuple(str(zone) for zone in zones) if isinstance(zones, list) else (),
-        connect_timeout_s=_number(ceilings, "connectTimeoutMs", CONNECT_MS) / 1000,
-        server_idle_timeout_s=_number(ceilings, "connIdleMs", IDLE_MS) / 1000,
+        connect_timeout_s=_get_number(ceilings, "connectTimeoutMs", DEFAULT_CONNECT_TIMEOUT_MS) / 1000,
+        server_idle_timeout_s=_get_number(ceilings, "connIdleMs", DEFAULT_SERVER_IDLE_TIMEOUT_MS) / 1000,
         known=raw.get("known"),
     )
--- a/ironstage/net/limiter.py
+++ b/ironstage/net/limiter.py
@@ -1,4 +1,8 @@
-"""The bridge: requests, answers and lists become the module's events, its actions become sends."""
+"""The limiter: translates between the network and the decision module, `ironstage.policy`.
+
+Client requests, server responses and server lists become the module's events; its actions become
+messages to servers and answers to clients.
+"""
 
 from __future__ import annotations
 
@@ -22,21 +26,29 @@
 
 log = logging.getLogger(__name__)
 
-EPOCH_MS = 1e9  # the module's clock starts here, so that no start of a server falls to 0 ('long ago')
-EARLY_S = 0.010  # the module's deadline lies so much before the client's: the answer is on its way, too
-PROBE_S = 0.25
-LOAD_MOST = 10_000.0  # of any figure in a load report; no server holds or serves more
-SERVER_CONNECTION_FRACTION = 0.4  # of the sockets may be connections to servers
-RESERVED_DESCRIPTOR_COUNT = 32  # descriptors for the listener, discovery, the loop and the log
+# The decision module's clock starts at this value, not at 0, so that servers that started before the limiter
+# have a start time above 0: one of 0 or less means "long ago".
+CLOCK_START_MS = 1e9
+# The decision module's deadline is this much before the client's, as the answer takes time to arrive.
+RESPONSE_MARGIN_S = 0.010
+PROBE_TIMEOUT_S = 0.25
+MAX_LOAD_REPORT_VALUE = 10_000.0  # no server holds or serves more requests
+# Connections to servers may use this part of the unreserved descriptors; clients' connections get the rest.
+SERVER_CONNECTION_FRACTION = 0.4
+RESERVED_DESCRIPTOR_COUNT = 32  # for the listener, the discovery watch, the event loop and the log
 
-PROBE = b"GET /metrics/load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
+PROBE_REQUEST = b"GET /metrics/load HTTP/1.1\r\nHost: backend.local\r\n\r\n"
 
 
 class ClientRequest(Protocol):
-    """A client's request as the client side hands it over."""
+    """A client's request, as `ironstage.net.clients` submits it.
+
+    `forwarded_head` is the request line and the headers to forward, without Req-Deadline and without the
+    empty line at the end. `answer` sends the response; `retry_after_s` is 0 for no Retry-After header.
+    """
 
     @property
-    def forwarded_head(self) -> bytes: ...  # request line and headers that go on, without the deadline
+    def forwarded_head(self) -> bytes: ...
     @property
     def body(self) -> bytes: ...
     def answer(
@@ -46,7 +58,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """A request's `client_request_id` (Req-Id), how long its client waits, and what the module is told."""
+    """What a client's headers state about its request.
+
+    `client_request_id` is the Req-Id, and `client_timeout_s` how long the client waits for an answer. The
+    other fields are passed to the decision module: see `ironstage.interface.RequestArrived`.
+    """
 
     client_request_id: bytes
     class_index: int
@@ -58,171 +74,198 @@
 
 
 @dataclass(slots=True)
-class _Taken:
-    call: ClientRequest
-    name: bytes
-    once: bool  # no repeat can make good an attempt that broke
+class _PendingRequest:
+    """A request that is unanswered or has outstanding attempts.
+
+    An `at_most_once` request must not be retried after a broken attempt. `deadline_ms` is the decision
+    module's deadline; `deadline_timer` expires at the client's. `attempts` holds None for each attempt
+    that has ended. `is_open` turns false once the request has its answer or lost its client.
+    """
+
+    client_request: ClientRequest
+    client_request_id: bytes
+    at_most_once: bool
     deadline_ms: float
-    overdue: asyncio.TimerHandle
+    deadline_timer: asyncio.TimerHandle
     attempts: list[Attempt | None] = field(default_factory=list)
-    open: bool = True
-    out: int = 0
+    is_open: bool = True
+    outstanding_attempt_count: int = 0
 
 
 def parse_load_report(fields: tuple[str, ...], raw: bytes) -> tuple[float, ...]:
-    """A load report in the settings' order; what is none, or has a figure beyond sense, says nothing."""
+    """Return the values of a JSON load report in the order of `fields`.
+
+    The result is empty if the report is absent or malformed, lacks a field, or has a value outside the
+    range from 0 to `MAX_LOAD_REPORT_VALUE`.
+    """
     try:
         values = tuple(float(json.loads(raw)[name]) for name in fields) if raw else ()
     except (ValueError, KeyError, TypeError, RecursionError, OverflowError):
         return ()
-    return values if all(0 <= value <= LOAD_MOST for value in values) else ()
+    return values if all(0 <= value <= MAX_LOAD_REPORT_VALUE for value in values) else ()
 
 
 class Limiter:
-    """Holds the request table and the clock; every decision is the module's."""
+    """Holds the pending requests, the server ids and the clock; the decision module makes the decisions.
+
+    `open_request_count` counts the requests without an answer. `cached_list_seq` is the version of the
+    server list in the configuration, 0 without one.
+    """
 
     def __init__(self, config: Config) -> None:
         self._settings = config.settings
         self._gateway = Gateway(config.settings, config.seed)
-        self._origin = time.monotonic()
-        # One offset for good: converted afresh each time, a start would seem to move and be a restart.
-        self._wall_ms = EPOCH_MS - time.time() * 1000
+        self._clock_start_s = time.monotonic()
+        # Computed once: with a new offset for each conversion, a server's start time would appear to change,
+        # which counts as a restart.
+        self._unix_to_clock_offset_ms = CLOCK_START_MS - time.time() * 1000
         self._servers = Servers(
             int((config.sockets - RESERVED_DESCRIPTOR_COUNT) * SERVER_CONNECTION_FRACTION),
             config.connect_timeout_s,
             config.server_idle_timeout_s,
         )
-        self._server_ids: dict[str, int] = {}  # of the servers that are not gone
-        self._next_number = itertools.count()  # never used again: outcomes may come after the end
-        self._zones = {zone: number for number, zone in enumerate(config.zones)}
-        self._requests: dict[int, _Taken] = {}
-        self._open_client_request_ids: set[bytes] = set()  # of the open requests
-        self._count = 0
-        self._events: deque[api.Event] = deque()
-        self._busy = False
-        self._max_open = config.max_open
+        self._server_ids: dict[str, int] = {}  # by host name, without the servers that are gone
+        self._server_id_counter = itertools.count()  # ids are never reused: attempts may outlast their server
+        self._zone_ids = {zone: zone_id for zone_id, zone in enumerate(config.zones)}
+        self._requests: dict[int, _PendingRequest] = {}
+        self._open_client_request_ids: set[bytes] = set()
+        self._last_request_id = 0
+        self._event_queue: deque[api.Event] = deque()
+        self._dispatching = False
+        self._max_open_requests = config.max_open
         self.open_request_count = 0
         self.cached_list_seq = 0
-        self._known(config)
+        self._load_cached_list(config)
 
-    def _known(self, config: Config) -> None:
+    def _load_cached_list(self, config: Config) -> None:
+        """Apply the server list in the configuration, which serves until discovery delivers one."""
         try:
-            told = parse_host_list(config.known)[0]
+            host_list = parse_host_list(config.known)[0]
         except ValueError as error:
-            log.warning("no usable list of servers known: %s", error)
+            log.warning("server list in the configuration is unusable: %s", error)
             return
-        self.cached_list_seq = told.seq
-        self._list(told, api.ListKind.CACHED)
+        self.cached_list_seq = host_list.seq
+        self._apply_list(host_list, api.ListKind.CACHED)
 
     # --- Clock -------------------------------------------------------------------------------
     def _now_ms(self) -> float:
-        return (time.monotonic() - self._origin) * 1000 + EPOCH_MS
+        """Return the time on the decision module's clock."""
+        return (time.monotonic() - self._clock_start_s) * 1000 + CLOCK_START_MS
 
-    def _loop_time(self, ms: float) -> float:
-        return (ms - EPOCH_MS) / 1000 + self._origin
+    def _to_loop_time(self, clock_ms: float) -> float:
+        """Convert a time on the decision module's clock to the event loop's, in seconds."""
+        return (clock_ms - CLOCK_START_MS) / 1000 + self._clock_start_s
 
-    # --- What clients and discovery tell -------------------------------------------------------
+    # --- Input from clients and discovery ------------------------------------------------------
     @property
     def ready(self) -> bool:
+        """Whether any server is ready."""
         return self._servers.any_ready()
 
     def submit(self, client_request: ClientRequest, metadata: RequestMetadata) -> int:
-        """Take a request on; from here it gets one answer, before its client gives up."""
-        self._count += 1
-        if self.open_request_count >= self._max_open:
+        """Accept a request, which gets exactly one answer by its client's timeout, and return its id."""
+        self._last_request_id += 1
+        if self.open_request_count >= self._max_open_requests:
             client_request.answer(503)
-            return self._count
+            return self._last_request_id
         if metadata.client_request_id in self._open_client_request_ids:
-            # Sent on, a server would see it as a second copy of the one that is open.
+            # A server would take it for a duplicate of the open request with this id.
             client_request.answer(409)
-            return self._count
-        ident, now = self._count, self._now_ms()
-        cls = self._settings.classes[metadata.class_index]
-        wait_s = min(metadata.client_timeout_s, cls.deadline_ms / 1000)
-        deadline = now + max(wait_s - EARLY_S, wait_s / 2) * 1000
-        timer = asyncio.get_running_loop().call_at(
-            self._loop_time(now) + wait_s, partial(self._overdue, ident)
+            return self._last_request_id
+        request_id, now_ms = self._last_request_id, self._now_ms()
+        request_class = self._settings.classes[metadata.class_index]
+        timeout_s = min(metadata.client_timeout_s, request_class.deadline_ms / 1000)
+        deadline_ms = now_ms + max(timeout_s - RESPONSE_MARGIN_S, timeout_s / 2) * 1000
+        deadline_timer = asyncio.get_running_loop().call_at(
+            self._to_loop_time(now_ms) + timeout_s, partial(self._handle_deadline, request_id)
         )
-        self._requests[ident] = _Taken(
+        self._requests[request_id] = _PendingRequest(
             client_request,
             metadata.client_request_id,
-            cls.effect is api.RetrySafety.AT_MOST_ONCE,
-            deadline,
-            timer,
+            request_class.effect is api.RetrySafety.AT_MOST_ONCE,
+            deadline_ms,
+            deadline_timer,
         )
         self._open_client_request_ids.add(metadata.client_request_id)
         self.open_request_count += 1
-        self._post(
+        self._dispatch(
             api.RequestArrived(
-                ident,
+                request_id,
                 metadata.class_index,
                 metadata.plan_index,
                 metadata.customer_id,
                 metadata.units,
                 metadata.customer_gateway_count,
-                deadline,
+                deadline_ms,
             )
         )
-        return ident
-
-    def abandon(self, ident: int) -> None:
-        """The client has hung up."""
-        if (taken := self._requests.get(ident)) and taken.open:
-            self._close(ident, taken)
-            self._post(api.RequestAbandoned(ident))
-
-    def apply_host_list(self, told: HostList) -> None:
-        self._list(told, api.ListKind.FULL if told.whole else api.ListKind.DELTA)
-
-    def _list(self, told: HostList, kind: api.ListKind) -> None:
-        servers = tuple(self._server(host) for host in told.hosts)
-        self._post(api.ServerList(kind, servers))
-        left = {host.name for host in told.hosts if host.state is ServerState.GONE}
+        return request_id
+
+    def abandon(self, request_id: int) -> None:
+        """Close a request whose client has disconnected."""
+        if (pending := self._requests.get(request_id)) and pending.is_open:
+            self._close_request(request_id, pending)
+            self._dispatch(api.RequestAbandoned(request_id))
+
+    def apply_host_list(self, host_list: HostList) -> None:
+        """Apply a list from discovery: all servers if it is whole, else changes only."""
+        self._apply_list(host_list, api.ListKind.FULL if host_list.whole else api.ListKind.DELTA)
+
+    def _apply_list(self, host_list: HostList, kind: api.ListKind) -> None:
+        """Pass a list to the decision module, and remove the servers that are gone."""
+        servers = tuple(self._register_server(host) for host in host_list.hosts)
+        self._dispatch(api.ServerList(kind, servers))
+        gone_names = {host.name for host in host_list.hosts if host.state is ServerState.GONE}
         if kind is not api.ListKind.DELTA:
-            left |= self._server_ids.keys() - {host.name for host in told.hosts}
-        for name in left:
+            gone_names |= self._server_ids.keys() - {host.name for host in host_list.hosts}
+        for name in gone_names:
             self._servers.remove(self._server_ids.pop(name))
 
-    def _server(self, host: Host) -> api.Server:
-        if (number := self._server_ids.get(host.name)) is None:
-            number = self._server_ids[host.name] = next(self._next_number)
-        zone = self._zones.setdefault(host.zone, len(self._zones))
-        self._servers.add_or_update(number, host.dial, host.state is ServerState.READY)
-        started = host.born_ms + self._wall_ms if host.born_ms > 0 else 0.0
-        return api.Server(number, zone, host.cell, host.state, host.relative_capacity, started)
+    def _register_server(self, host: Host) -> api.Server:
+        """Add or update a listed server and return it as the decision module sees it."""
+        if (server_id := self._server_ids.get(host.name)) is None:
+            server_id = self._server_ids[host.name] = next(self._server_id_counter)
+        zone_id = self._zone_ids.setdefault(host.zone, len(self._zone_ids))
+        self._servers.add_or_update(server_id, host.dial, host.state is ServerState.READY)
+        started_ms = host.born_ms + self._unix_to_clock_offset_ms if host.born_ms > 0 else 0.0
+        return api.Server(server_id, zone_id, host.cell, host.state, host.relative_capacity, started_ms)
 
     def close_expired_connections(self) -> None:
+        """Close the server connections that have been idle for too long."""
         self._servers.close_expired_connections()
 
     def close(self) -> None:
+        """Close the idle server connections and abandon those being opened."""
         self._servers.close()
 
     # --- Events and actions --------------------------------------------------------------------
-    def _post(self, event: api.Event) -> None:
-        """Give the module an event; what its own actions cause waits until it has returned."""
-        self._events.append(event)
-        if self._busy:
+    def _dispatch(self, event: api.Event) -> None:
+        """Queue an event for the decision module; events caused by its actions wait until it has returned."""
+        self._event_queue.append(event)
+        if self._dispatching:
             return
-        self._busy = True
+        self._dispatching = True
         try:
-            while self._events:
-                self._handle(self._events.popleft())
+            while self._event_queue:
+                self._handle(self._event_queue.popleft())
         finally:
-            self._busy = False
+            self._dispatching = False
 
     def _handle(self, event: api.Event) -> None:
+        """Pass one event to the decision module and carry out the actions that it returns."""
         try:
             for action in self._gateway.handle(self._now_ms(), event):
-                self._act(action)
+                self._execute(action)
         except Exception:
-            # A fault in one request must not end the others; its own client is told of a failure.
-            log.exception("the module failed on %r", event)
-            ident = getattr(event, "request_id", None)
-            if ident is not None and (taken := self._requests.get(ident)) and taken.open:
-                self._answer(ident, 500)
-                self._events.append(api.RequestAbandoned(ident))
-
-    def _act(self, action: api.Action) -> None:
+            # An exception on one request must not affect the others; only its own client gets a 500.
+            log.exception("decision module or one of its actions failed on event %r", event)
+            request_id = getattr(event, "request_id", None)
+            if request_id is not None and (pending := self._requests.get(request_id)) and pending.is_open:
+                self._answer(request_id, 500)
+                self._event_queue.append(api.RequestAbandoned(request_id))
+
+    def _execute(self, action: api.Action) -> None:
+        """Carry out one action of the decision module."""
         match action:
             case api.Send():
                 self._send(action)
@@ -233,105 +276,126 @@
             case api.Cancel():
                 self._cancel(action)
             case api.SetTimer():
-                fired = partial(self._post, api.TimerFired(action.token))
-                when = self._loop_time(self._now_ms() + action.delay_ms)
-                asyncio.get_running_loop().call_at(when + TIMER_RESOLUTION_S, fired)
+                on_expiry = partial(self._dispatch, api.TimerFired(action.token))
+                expiry_s = self._to_loop_time(self._now_ms() + action.delay_ms)
+                asyncio.get_running_loop().call_at(expiry_s + TIMER_RESOLUTION_S, on_expiry)
             case api.Probe():
                 self._probe(action.server_id)
             case api.CloseIdleConnections():
                 self._servers.close_idle_connections(action.server_id)
             case api.Log():
-                log.info("module: %s", action.text)
+                log.info("decision module: %s", action.text)
             case api.Subscribe() | api.FetchServerList():
-                pass  # the watch is always on
+                pass  # the discovery watch is always on
             case _:
-                log.error("an action that this limiter does not know: %r", action)
+                log.error("unsupported action from the decision module: %r", action)
 
     def _cancel(self, action: api.Cancel) -> None:
-        taken = self._requests.get(action.request_id)
+        """Cancel an attempt if it is still outstanding."""
+        pending = self._requests.get(action.request_id)
         attempt = (
-            taken.attempts[action.attempt_number]
-            if taken and action.attempt_number < len(taken.attempts)
+            pending.attempts[action.attempt_number]
+            if pending and action.attempt_number < len(pending.attempts)
             else None
         )
         if attempt:
             attempt.cancel()
 
     def _send(self, action: api.Send) -> None:
-        ident, now = action.request_id, self._now_ms()
-        taken = self._requests.get(ident)
-        number = len(taken.attempts) if taken else 0
-        until = min(action.attempt_deadline_ms or math.inf, taken.deadline_ms) if taken else 0.0
-        if not taken or not taken.open or now >= until or number >= self._settings.max_attempts:
-            closed = not taken or not taken.open
-            self._events.append(
-                api.AttemptEnded(ident, number, action.server_id, CallStatus.NOT_SENT, 0.0, closed)
+        """Start an attempt, or report it as not sent if the request is closed, late or out of attempts."""
+        request_id, now_ms = action.request_id, self._now_ms()
+        pending = self._requests.get(request_id)
+        attempt_number = len(pending.attempts) if pending else 0
+        expiry_ms = min(action.attempt_deadline_ms or math.inf, pending.deadline_ms) if pending else 0.0
+        if (
+            not pending
+            or not pending.is_open
+            or now_ms >= expiry_ms
+            or attempt_number >= self._settings.max_attempts
+        ):
+            request_closed = not pending or not pending.is_open
+            self._event_queue.append(
+                api.AttemptEnded(
+                    request_id, attempt_number, action.server_id, CallStatus.NOT_SENT, 0.0, request_closed
+                )
             )
             return
-        left = f"Req-Deadline: {(until - now) / 1000:.3f}\r\n\r\n"
+        deadline_header = f"Req-Deadline: {(expiry_ms - now_ms) / 1000:.3f}\r\n\r\n"
         attempt = self._servers.send(
             action.server_id,
-            taken.call.forwarded_head + left.encode() + taken.call.body,
-            self._loop_time(until),
-            partial(self._ended, ident, taken, number, action.server_id, now),
-            taken.once,
+            pending.client_request.forwarded_head + deadline_header.encode() + pending.client_request.body,
+            self._to_loop_time(expiry_ms),
+            partial(self._handle_attempt_end, request_id, pending, attempt_number, action.server_id, now_ms),
+            pending.at_most_once,
         )
-        taken.out += 1
-        taken.attempts.append(attempt)
-
-    def _ended(
-        self, ident: int, taken: _Taken, number: int, server: int, sent: float, reply: AttemptResult
+        pending.outstanding_attempt_count += 1
+        pending.attempts.append(attempt)
+
+    def _handle_attempt_end(
+        self,
+        request_id: int,
+        pending: _PendingRequest,
+        attempt_number: int,
+        server_id: int,
+        sent_ms: float,
+        result: AttemptResult,
     ) -> None:
-        """An attempt's end: the first 200 is the client's, and every end is told the module."""
-        taken.attempts[number] = None
-        taken.out -= 1
-        if reply.status is CallStatus.OK and taken.open:
-            self._close(ident, taken)
-            taken.call.answer(200, reply.body, reply.content_type)
-        self._forget(ident, taken)
-        self._post(
+        """Report the end of an attempt to the decision module; the first 200 goes to the client."""
+        pending.attempts[attempt_number] = None
+        pending.outstanding_attempt_count -= 1
+        if result.status is CallStatus.OK and pending.is_open:
+            self._close_request(request_id, pending)
+            pending.client_request.answer(200, result.body, result.content_type)
+        self._remove_if_finished(request_id, pending)
+        self._dispatch(
             api.AttemptEnded(
-                ident,
-                number,
-                server,
-                reply.status,
-                self._now_ms() - sent,
-                not taken.open,
-                reply.usage_percent,
+                request_id,
+                attempt_number,
+                server_id,
+                result.status,
+                self._now_ms() - sent_ms,
+                not pending.is_open,
+                result.usage_percent,
                 0,
-                parse_load_report(self._settings.report_fields, reply.load_report),
+                parse_load_report(self._settings.report_fields, result.load_report),
             )
         )
 
-    def _probe(self, server: int) -> None:
-        now = self._now_ms()
-
-        def ended(reply: AttemptResult) -> None:
-            load = parse_load_report(self._settings.report_fields, reply.load_report or reply.body)
-            self._post(api.ProbeResult(server, reply.status, self._now_ms() - now, load))
+    def _probe(self, server_id: int) -> None:
+        """Request a server's load report and pass the result to the decision module."""
+        sent_ms = self._now_ms()
 
-        self._servers.send(server, PROBE, self._loop_time(now) + PROBE_S, ended)
+        def on_probe_end(result: AttemptResult) -> None:
+            load_report = parse_load_report(self._settings.report_fields, result.load_report or result.body)
+            self._dispatch(api.ProbeResult(server_id, result.status, self._now_ms() - sent_ms, load_report))
 
-    # --- Answers -------------------------------------------------------------------------------
-    def _answer(self, ident: int, code: int, retry_s: float = 0.0) -> None:
-        if (taken := self._requests.get(ident)) and taken.open:
-            self._close(ident, taken)
-            taken.call.answer(code, retry_after_s=retry_s)
+        self._servers.send(
+            server_id, PROBE_REQUEST, self._to_loop_time(sent_ms) + PROBE_TIMEOUT_S, on_probe_end
+        )
 
-    def _close(self, ident: int, taken: _Taken) -> None:
-        taken.open = False
-        taken.overdue.cancel()
+    # --- Answers to clients --------------------------------------------------------------------
+    def _answer(self, request_id: int, status_code: int, retry_after_s: float = 0.0) -> None:
+        """Answer a request that is still open, and close it."""
+        if (pending := self._requests.get(request_id)) and pending.is_open:
+            self._close_request(request_id, pending)
+            pending.client_request.answer(status_code, retry_after_s=retry_after_s)
+
+    def _close_request(self, request_id: int, pending: _PendingRequest) -> None:
+        """Close a request that has its answer or lost its client; its attempts may still be outstanding."""
+        pending.is_open = False
+        pending.deadline_timer.cancel()
         self.open_request_count -= 1
-        self._open_client_request_ids.discard(taken.name)
-        self._forget(ident, taken)
-
-    def _forget(self, ident: int, taken: _Taken) -> None:
-        if not taken.open and not taken.out:
-            self._requests.pop(ident, None)
-
-    def _overdue(self, ident: int) -> None:
-        """The last guard on an answer in time, should the module have been silent."""
-        if ident in self._requests:
-            log.error("request %d had no answer at its deadline", ident)
-            self._answer(ident, 504)
-            self._post(api.RequestAbandoned(ident))
+        self._open_client_request_ids.discard(pending.client_request_id)
+        self._remove_if_finished(request_id, pending)
+
+    def _remove_if_finished(self, request_id: int, pending: _PendingRequest) -> None:
+        """Remove a request that is closed and has no outstanding attempts."""
+        if not pending.is_open and not pending.outstanding_attempt_count:
+            self._requests.pop(request_id, None)
+
+    def _handle_deadline(self, request_id: int) -> None:
+        """Answer 504 at the client's deadline if the decision module has not answered the request."""
+        if request_id in self._requests:
+            log.error("request %d was not answered by its deadline; answering 504", request_id)
+            self._answer(request_id, 504)
+            self._dispatch(api.RequestAbandoned(request_id))
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is run: configuration, signals, descriptors."""
+"""The limiter as a process: configuration, signals and the limit of file descriptors."""
 
 from __future__ import annotations
 
@@ -33,21 +33,26 @@
 ROOT = Path(__file__).parent.parent
 
 
-async def echo(request: ReceivedRequest) -> None:
+async def echo_request_id(request: ReceivedRequest) -> None:
+    """Answer a request with its Req-Id as the body."""
     request.reply(body=request.headers["req-id"].encode())
 
 
-class Program:
-    def __init__(self, process: asyncio.subprocess.Process, address: str, file: Path) -> None:
+class LimiterProcess:
+    """A running limiter process, its address and its configuration file."""
+
+    def __init__(self, process: asyncio.subprocess.Process, address: str, config_path: Path) -> None:
         self.process = process
         self.host, port = address.split(":")
-        self.file = file
+        self.config_path = config_path
         self.port = int(port)
 
     async def connect(self) -> Client:
+        """Open a client connection to the limiter."""
         return Client(*await asyncio.open_connection(self.host, self.port))
 
-    async def up(self) -> None:
+    async def wait_ready(self) -> None:
+        """Wait until the limiter accepts connections and has a ready server."""
         while True:
             with contextlib.suppress(ConnectionError):
                 client = await self.connect()
@@ -59,11 +64,15 @@
 
 
 @contextlib.asynccontextmanager
-async def program(
-    path: Path, *hosts: dict[str, Any], limit: Callable[[], None] | None = None
-) -> AsyncIterator[Program]:
-    address, file = unused_address(), path / "config.json"
-    raw: dict[str, Any] = {
+async def running_process(
+    directory: Path, *hosts: dict[str, Any], before_exec: Callable[[], None] | None = None
+) -> AsyncIterator[LimiterProcess]:
+    """Run a limiter process with these hosts in its server list; `directory` holds its files.
+
+    The process writes its log to the file "log" there; `before_exec` runs in the new process first.
+    """
+    address, config_path = unused_address(), directory / "config.json"
+    config: dict[str, Any] = {
         "name": "n3",
         "listen": address,
         "discovery": unused_address(),
@@ -72,129 +81,144 @@
         "known": host_list(1, *hosts),
         "settings": SETTINGS,
     }
-    file.write_text(json.dumps(raw))
+    config_path.write_text(json.dumps(config))
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "ironstage",
         cwd=ROOT,
-        env={**os.environ, "GW_CONFIG": str(file), "GW_DISCOVERY": raw["discovery"]},
-        preexec_fn=limit,
-        stderr=(path / "log").open("wb"),
+        env={**os.environ, "GW_CONFIG": str(config_path), "GW_DISCOVERY": config["discovery"]},
+        preexec_fn=before_exec,
+        stderr=(directory / "log").open("wb"),
     )
-    made = Program(process, address, file)
+    limiter = LimiterProcess(process, address, config_path)
     try:
-        await made.up()
-        yield made
+        await limiter.wait_ready()
+        yield limiter
     finally:
         with contextlib.suppress(ProcessLookupError):
             process.kill()
         await process.wait()
 
 
-@pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT])
-def test_work_in_hand_at_the_end(tmp_path: Path, number: signal.Signals) -> None:
-    """What was taken is finished, connections still come for a while, and the exit is clean."""
+@pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
+def test_stop_signal_finishes_open_requests_before_exit(tmp_path: Path, stop_signal: signal.Signals) -> None:
+    """A stop signal must not lose requests: not those that are open, and not those of late connections.
+
+    Idle connections are closed and /up answers 503, but the listener accepts connections for a while. Each
+    response then closes its connection, and the process exits with status 0 after the last one.
+    """
 
     async def test() -> None:
-        async with backend() as server, program(tmp_path, host_entry("a", server.address)) as made:
-            idle, busy = await made.connect(), await made.connect()
-            assert (await idle.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
-            busy.send(build_request("fix", "taken"))
-            taken = await server.request_queue.get()
-            made.process.send_signal(number)
-            await idle.wait_closed()
-            late = await made.connect()
-            late.send(b"GET /up HTTP/1.1\r\n\r\n" + build_request("fix", "late"))
-            came = await server.request_queue.get()
-            await echo(came)
-            answer = await late.read_response()
-            assert (answer.status_code, answer.headers.get("connection")) == (503, None)
-            answer = await late.read_response()
-            assert (answer.body, answer.headers["connection"]) == (b"late", "close")
-            await late.wait_closed()
-            last = await made.connect()
-            last.send(build_request("fix", "half", b"body")[:-4])
+        async with backend() as server, running_process(tmp_path, host_entry("a", server.address)) as limiter:
+            idle_client, busy_client = await limiter.connect(), await limiter.connect()
+            assert (await idle_client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
+            busy_client.send(build_request("fix", "open"))
+            open_request = await server.request_queue.get()
+            limiter.process.send_signal(stop_signal)
+            await idle_client.wait_closed()
+            late_client = await limiter.connect()
+            late_client.send(b"GET /up HTTP/1.1\r\n\r\n" + build_request("fix", "late"))
+            late_request = await server.request_queue.get()
+            await echo_request_id(late_request)
+            response = await late_client.read_response()
+            assert (response.status_code, response.headers.get("connection")) == (503, None)
+            response = await late_client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"late", "close")
+            await late_client.wait_closed()
+            last_client = await limiter.connect()
+            last_client.send(build_request("fix", "half", b"body")[:-4])
             with contextlib.suppress(ConnectionRefusedError):
-                while True:  # until nobody listens any more
-                    (await made.connect()).close()
+                while True:  # until the listener is closed
+                    (await limiter.connect()).close()
                     await asyncio.sleep(0.01)
-            last.send(b"body")
-            await echo(await server.request_queue.get())
-            answer = await last.read_response()
-            assert (answer.body, answer.headers["connection"]) == (b"half", "close")
-            await echo(taken)
-            answer = await busy.read_response()
-            assert (answer.body, answer.headers["connection"]) == (b"taken", "close")
-            assert await made.process.wait() == 0
+            last_client.send(b"body")
+            await echo_request_id(await server.request_queue.get())
+            response = await last_client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"half", "close")
+            await echo_request_id(open_request)
+            response = await busy_client.read_response()
+            assert (response.body, response.headers["connection"]) == (b"open", "close")
+            assert await limiter.process.wait() == 0
 
     run(test())
 
 
-def test_descriptors_exhausted(tmp_path: Path) -> None:
-    """Connections for which there is no descriptor wait; the limiter serves on and takes them later."""
+def test_connections_beyond_descriptor_limit_wait(tmp_path: Path) -> None:
+    """Running out of file descriptors must not stop the limiter.
 
-    def limit() -> None:
+    It answers its open requests, and accepts the waiting connections once descriptors are free again.
+    """
+
+    def set_descriptor_limit() -> None:
         resource.setrlimit(resource.RLIMIT_NOFILE, (48, 48))
 
     async def test() -> None:
         async with (
             backend() as server,
-            program(tmp_path, host_entry("a", server.address), limit=limit) as made,
+            running_process(
+                tmp_path, host_entry("a", server.address), before_exec=set_descriptor_limit
+            ) as limiter,
         ):
-            first = await made.connect()
-            first.send(build_request("fix", "in-hand"))
-            held = await server.request_queue.get()
-            # Each has begun a request, so that none is idle and may give way.
-            crowd = [await made.connect() for _ in range(80)]
-            for client in crowd:
+            first_client = await limiter.connect()
+            first_client.send(build_request("fix", "open"))
+            open_request = await server.request_queue.get()
+            # Each client sends part of a request: the limiter may close idle connections to free descriptors.
+            clients = [await limiter.connect() for _ in range(80)]
+            for client in clients:
                 client.send(build_request("fix")[:10])
             log = tmp_path / "log"
             await wait_until(lambda: "no descriptor for a new connection" in log.read_text())
-            await echo(held)
-            assert (await first.read_response()).body == b"in-hand"
-            server.handler = echo
-            waiting = crowd.pop()
-            for client in crowd:
+            await echo_request_id(open_request)
+            assert (await first_client.read_response()).body == b"open"
+            server.handler = echo_request_id
+            waiting_client = clients.pop()
+            for client in clients:
                 client.close()
-            waiting.send(build_request("fix", "waited")[10:])
-            assert (await waiting.read_response()).body == b"waited"
-            made.process.send_signal(signal.SIGTERM)
-            assert await made.process.wait() == 0
+            waiting_client.send(build_request("fix", "waited")[10:])
+            assert (await waiting_client.read_response()).body == b"waited"
+            limiter.process.send_signal(signal.SIGTERM)
+            assert await limiter.process.wait() == 0
             assert "Traceback" not in log.read_text()
 
     run(test())
 
 
-def test_reload(tmp_path: Path) -> None:
-    """SIGHUP moves the watch to where the replaced file puts it; an unreadable file changes nothing."""
+def test_sighup_reloads_discovery_address(tmp_path: Path) -> None:
+    """On SIGHUP the limiter watches discovery at the new address; an invalid file changes nothing."""
 
     async def test() -> None:
         async with (
-            backend(echo) as server,
-            discovery_agent() as old,
-            discovery_agent() as new,
-            program(tmp_path, host_entry("a", server.address)) as made,
+            backend(echo_request_id) as server,
+            discovery_agent() as old_agent,
+            discovery_agent() as new_agent,
+            running_process(tmp_path, host_entry("a", server.address)) as limiter,
         ):
-            log, good = tmp_path / "log", json.loads(made.file.read_text())
-            for text in ("{", "[]", json.dumps({**good, "discovery": "nowhere"})):
-                said = log.read_text().count("the configuration stays")
-                made.file.write_text(text)
-                made.process.send_signal(signal.SIGHUP)
-                await wait_until(lambda said=said: log.read_text().count("the configuration stays") > said)  # type: ignore[misc]
-            for watched in (old, new):
-                made.file.write_text(json.dumps({**good, "discovery": "{}:{}".format(*watched.address)}))
-                made.process.send_signal(signal.SIGHUP)
-                await watched.watch_queries.get()
-            client = await made.connect()
+            log, valid_config = tmp_path / "log", json.loads(limiter.config_path.read_text())
+            for invalid_text in ("{", "[]", json.dumps({**valid_config, "discovery": "nowhere"})):
+                failure_count = log.read_text().count("configuration not reloaded")
+                limiter.config_path.write_text(invalid_text)
+                limiter.process.send_signal(signal.SIGHUP)
+                await wait_until(
+                    lambda failure_count=failure_count: (  # type: ignore[misc]
+                        log.read_text().count("configuration not reloaded") > failure_count
+                    )
+                )
+            for agent in (old_agent, new_agent):
+                limiter.config_path.write_text(
+                    json.dumps({**valid_config, "discovery": "{}:{}".format(*agent.address)})
+                )
+                limiter.process.send_signal(signal.SIGHUP)
+                await agent.watch_queries.get()
+            client = await limiter.connect()
             assert (await client.request(build_request("fix", "on"))).body == b"on"
-            made.process.send_signal(signal.SIGTERM)
-            assert await made.process.wait() == 0
+            limiter.process.send_signal(signal.SIGTERM)
+            assert await limiter.process.wait() == 0
 
     run(test())
 
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "name": "n3",
     "listen": "127.0.0.1:9000",
     "discovery": "127.0.0.1:8500",
@@ -204,21 +228,27 @@
 }
 
 
-def test_configuration(tmp_path: Path) -> None:
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps(GOOD))
-    got = load({"GW_CONFIG": str(file), "GW_NAME": "n4", "GW_LISTEN": "[::1]:9001"})
-    assert (got.name, got.listen, got.discovery) == ("n4", ("::1", 9001), ("127.0.0.1", 8500))
-    assert (got.seed, got.sockets, got.connect_timeout_s, got.server_idle_timeout_s) == (255, 512, 0.25, 30.0)
-    assert got.max_buffered_body_bytes == 43 << 20 and got.settings.max_retry_after_ms == 500.0
-    small = {**GOOD, "limits": {"memory_mb": 32}}
-    file.write_text(json.dumps(small))
-    assert load({"GW_CONFIG": str(file)}).max_buffered_body_bytes == 3 << 20
-    assert got.settings.classes[2].name == "fix" and got.zones == ("hall-a", "hall-b")
+def test_load_applies_environment_file_and_defaults(tmp_path: Path) -> None:
+    """Environment variables override the file, and entries missing from the file get defaults."""
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps(VALID_CONFIG))
+    config = load({"GW_CONFIG": str(config_path), "GW_NAME": "n4", "GW_LISTEN": "[::1]:9001"})
+    assert (config.name, config.listen, config.discovery) == ("n4", ("::1", 9001), ("127.0.0.1", 8500))
+    assert (config.seed, config.sockets, config.connect_timeout_s, config.server_idle_timeout_s) == (
+        255,
+        512,
+        0.25,
+        30.0,
+    )
+    assert config.max_buffered_body_bytes == 43 << 20 and config.settings.max_retry_after_ms == 500.0
+    small_memory_config = {**VALID_CONFIG, "limits": {"memory_mb": 32}}
+    config_path.write_text(json.dumps(small_memory_config))
+    assert load({"GW_CONFIG": str(config_path)}).max_buffered_body_bytes == 3 << 20
+    assert config.settings.classes[2].name == "fix" and config.zones == ("hall-a", "hall-b")
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "invalid_entries",
     [
         {"listen": "nowhere"},
         {"listen": "127.0.0.1:http"},
@@ -230,14 +260,14 @@
         {"settings": {}},
     ],
 )
-def test_wrong_configuration(tmp_path: Path, wrong: dict[str, Any]) -> None:
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, **wrong}))
+def test_load_rejects_invalid_entries(tmp_path: Path, invalid_entries: dict[str, Any]) -> None:
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps({**VALID_CONFIG, **invalid_entries}))
     with pytest.raises(ConfigError):
-        load({"GW_CONFIG": str(file)})
+        load({"GW_CONFIG": str(config_path)})
 
 
-def test_no_configuration(tmp_path: Path) -> None:
+def test_load_rejects_missing_file(tmp_path: Path) -> None:
     for environ in ({}, {"GW_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(ConfigError):
             load(environ)
