--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -228,7 +228,7 @@
 def make_config(
     *hosts: dict[str, Any], discovery: tuple[str, int] = ("127.0.0.1", 1), **overrides: Any
 ) -> Config:
-    """Return a limiter's configuration that knows these hosts; `overrides` replace its fields.
+    """Return a limiter's configuration with these hosts in its server list; `overrides` replace its fields.
 
     `settings` among the overrides replaces top-level keys of `SETTINGS`.
     """
@@ -270,7 +270,7 @@
 async def running_limiter(
     *hosts: dict[str, Any], agent: DiscoveryAgent | None = None, **overrides: Any
 ) -> AsyncIterator[LimiterFixture]:
-    """Run a limiter that knows these hosts and, with an `agent`, watches it for changes."""
+    """Run a limiter with these hosts in its configured server list; it watches the `agent`, if given."""
     if agent:
         overrides["discovery"] = agent.address
     fixture = LimiterFixture(make_config(*hosts, **overrides))
@@ -329,6 +329,7 @@
     writer: asyncio.StreamWriter
 
     def send(self, raw: bytes) -> None:
+        """Send bytes as they are."""
         self.writer.write(raw)
 
     async def read_response(self) -> Response:
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -1,4 +1,4 @@
-"""A thousand limiters and a thousand servers: taken in full, at a cost in line with their number."""
+"""1024 limiters and 1024 servers: all are handled, at a cost that grows linearly with their number."""
 
 from __future__ import annotations
 
@@ -28,166 +28,190 @@
 from ironstage.net import discovery
 from ironstage.net.config import ConfigError, load
 
-MOST = 1024
+FLEET_SIZE = 1024  # servers, and limiters
 
 
-def hosts(count: int) -> list[dict[str, Any]]:
+def host_entries(count: int) -> list[dict[str, Any]]:
+    """Return the entries of that many servers, each with its own address."""
     return [host_entry(f"s-{n:08x}", f"127.{n // 250 + 1}.{n % 250}.1:9000") for n in range(count)]
 
 
-def fed(raw: bytes, piece: int) -> tuple[list[bytes], discovery._WatchStream]:
-    """The lines that a stream gives when its answer comes in pieces, each a chunk of its own."""
+def feed_watch_stream(raw: bytes, chunk_size: int) -> tuple[list[bytes], discovery._WatchStream]:
+    """Feed a response body to a watch stream in chunks; return the lines it delivers and the stream."""
     lines: list[bytes] = []
 
-    async def test() -> discovery._WatchStream:
+    async def feed() -> discovery._WatchStream:
         stream = discovery._WatchStream(lambda line: lines.append(line) is None)
         stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for start in range(0, len(raw), piece):
-            part = raw[start : start + piece]
-            stream.data_received(b"%x\r\n%b\r\n" % (len(part), part))
+        for start in range(0, len(raw), chunk_size):
+            chunk = raw[start : start + chunk_size]
+            stream.data_received(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         return stream
 
     streams: list[discovery._WatchStream] = []
 
-    async def keep() -> None:
-        streams.append(await test())
+    async def store_stream() -> None:
+        streams.append(await feed())
 
-    run(keep())
+    run(store_stream())
     return lines, streams[0]
 
 
-@pytest.mark.parametrize("piece", [1, 7, 1460])
-def test_a_list_in_small_pieces_is_copied_once(piece: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    copied = 0
+@pytest.mark.parametrize("chunk_size", [1, 7, 1460])
+def test_list_in_small_chunks_is_copied_once(chunk_size: int, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Guards against splitting the buffer at each chunk.
 
-    def counted(raw: bytearray) -> bytes:
-        nonlocal copied
-        copied += len(raw)
+    The number of copied bytes would grow with a line's length squared.
+    """
+    copied_byte_count = 0
+
+    def counting_bytes(raw: bytearray) -> bytes:
+        nonlocal copied_byte_count
+        copied_byte_count += len(raw)
         return bytes(raw)
 
-    monkeypatch.setattr(discovery, "bytes", counted, raising=False)
-    whole = json.dumps(host_list(2, *hosts(MOST))).encode()
-    change = json.dumps(host_list(3, *hosts(1), whole=False)).encode()
-    lines, stream = fed(whole + b"\n\n" + change + b"\n" + whole[:100], piece)
+    monkeypatch.setattr(discovery, "bytes", counting_bytes, raising=False)
+    full_list = json.dumps(host_list(2, *host_entries(FLEET_SIZE))).encode()
+    delta = json.dumps(host_list(3, *host_entries(1), whole=False)).encode()
+    lines, stream = feed_watch_stream(full_list + b"\n\n" + delta + b"\n" + full_list[:100], chunk_size)
     assert [json.loads(line)["seq"] for line in lines if line.strip()] == [2, 3]
     assert len(stream._buffer) == 100
-    assert len(whole) < copied < 2 * len(whole)
+    assert len(full_list) < copied_byte_count < 2 * len(full_list)
 
 
-def test_a_line_that_never_ends_ends_the_watch_and_fills_no_memory() -> None:
+def test_unterminated_line_uses_bounded_memory() -> None:
+    """Guards against a line of the watch that never ends and fills the memory."""
     tracemalloc.start()
     try:
-        lines, stream = fed(b"x" * (discovery.MAX_LINE_BYTES + 2), 1 << 16)
-        peak = tracemalloc.get_traced_memory()[1]
+        lines, stream = feed_watch_stream(b"x" * (discovery.MAX_LINE_BYTES + 2), 1 << 16)
+        peak_bytes = tracemalloc.get_traced_memory()[1]
     finally:
         tracemalloc.stop()
     assert lines == [] and len(stream._buffer) > discovery.MAX_LINE_BYTES
-    assert peak < 5 * discovery.MAX_LINE_BYTES
+    assert peak_bytes < 5 * discovery.MAX_LINE_BYTES
 
 
 @pytest.mark.parametrize("whole", [True, False])
-def test_a_thousand_servers_on_the_wire(whole: bool) -> None:
-    """By one list or by as many changes, all are known, and with all gone but one that one serves."""
+def test_watch_adds_and_removes_a_thousand_servers(whole: bool) -> None:
+    """Adds the servers by one full list or by one change each, then replaces them by a single server.
+
+    That one must serve, and nothing may be kept of the others.
+    """
 
-    async def echo(request: ReceivedRequest) -> None:
+    async def echo_request_id(request: ReceivedRequest) -> None:
         request.reply(body=request.headers["req-id"].encode())
 
     async def test() -> None:
-        async with backend(echo) as one, discovery_agent() as watched:
-            async with running_limiter(agent=watched) as rig:
-                await watched.watch_queries.get()
+        async with backend(echo_request_id) as server, discovery_agent() as agent:
+            async with running_limiter(agent=agent) as fixture:
+                await agent.watch_queries.get()
                 if whole:
-                    watched.send_line(host_list(MOST + 1, *hosts(MOST)))
+                    agent.send_line(host_list(FLEET_SIZE + 1, *host_entries(FLEET_SIZE)))
                 else:
-                    for n, each in enumerate(hosts(MOST)):
-                        watched.send_line(host_list(n + 2, each, whole=False))
-                await wait_until(lambda: rig.watch.seq == MOST + 1)
-                assert len(rig.limiter._gateway.fleet.ready) == len(rig.limiter._server_ids) == MOST
-                watched.send_line(host_list(MOST + 2, host_entry("last", one.address)))
-                await wait_until(lambda: rig.watch.seq == MOST + 2)
-                client = await rig.connect()
+                    for n, entry in enumerate(host_entries(FLEET_SIZE)):
+                        agent.send_line(host_list(n + 2, entry, whole=False))
+                await wait_until(lambda: fixture.watch.seq == FLEET_SIZE + 1)
+                assert (
+                    len(fixture.limiter._gateway.fleet.ready)
+                    == len(fixture.limiter._server_ids)
+                    == FLEET_SIZE
+                )
+                agent.send_line(host_list(FLEET_SIZE + 2, host_entry("last", server.address)))
+                await wait_until(lambda: fixture.watch.seq == FLEET_SIZE + 2)
+                client = await fixture.connect()
                 assert (await client.request(build_request("fix", "only"))).status_code == 200
-                assert len(rig.limiter._servers._servers) == len(rig.limiter._gateway.fleet.peers) == 1
+                assert (
+                    len(fixture.limiter._servers._servers) == len(fixture.limiter._gateway.fleet.peers) == 1
+                )
 
     run(test())
 
 
-def steps(count: int) -> int:
-    """How many lines the module runs for as many changes of one server each."""
-    rig, lines = GatewayFixture([], gateway_count=MOST), 0
+def count_executed_lines(change_count: int) -> int:
+    """Return how many lines of Python run for that many list changes, each of which adds one server."""
+    fixture, line_count = GatewayFixture([], gateway_count=FLEET_SIZE), 0
 
     def trace(frame: FrameType, event: str, arg: object) -> Any:
-        nonlocal lines
-        lines += event == "line"
+        nonlocal line_count
+        line_count += event == "line"
         return trace
 
-    before = sys.gettrace()
+    previous_trace = sys.gettrace()
     sys.settrace(trace)
     try:
-        for n in range(count):
-            rig.apply_server_list(1.0, make_server(n))
+        for n in range(change_count):
+            fixture.apply_server_list(1.0, make_server(n))
     finally:
-        sys.settrace(before)
-    assert len(rig.gateway.fleet.ready) == count
-    return lines
+        sys.settrace(previous_trace)
+    assert len(fixture.gateway.fleet.ready) == change_count
+    return line_count
+
 
+def test_cost_of_list_change_is_independent_of_fleet_size() -> None:
+    """Guards against a change of one server that costs time in proportion to all servers.
 
-def test_a_change_costs_its_own_length() -> None:
-    assert steps(MOST) < 1.2 * MOST / 64 * steps(64)
+    Adding 1024 servers one by one may take at most 1.2 times as many lines per server as adding 64.
+    """
+    assert count_executed_lines(FLEET_SIZE) < 1.2 * FLEET_SIZE / 64 * count_executed_lines(64)
 
 
-def test_each_of_a_thousand_servers_can_be_chosen() -> None:
-    rig = GatewayFixture([make_server(n) for n in range(MOST)], gateway_count=MOST)
-    chosen = set()
-    for n in range(16 * MOST):
-        for sent in send_actions(rig.submit_request(100.0 * n, customer_id=n)):
-            chosen.add(sent.server_id)
-            rig.end_attempt(100.0 * n + 5.0, sent, "ok", elapsed_ms=5.0)
-    assert len(chosen) == MOST
+def test_each_of_a_thousand_servers_is_chosen() -> None:
+    """Among a thousand servers none may stay without requests."""
+    fixture = GatewayFixture([make_server(n) for n in range(FLEET_SIZE)], gateway_count=FLEET_SIZE)
+    chosen_server_ids = set()
+    for n in range(16 * FLEET_SIZE):
+        for sent in send_actions(fixture.submit_request(100.0 * n, customer_id=n)):
+            chosen_server_ids.add(sent.server_id)
+            fixture.end_attempt(100.0 * n + 5.0, sent, "ok", elapsed_ms=5.0)
+    assert len(chosen_server_ids) == FLEET_SIZE
 
 
-GOOD: dict[str, Any] = {
+VALID_CONFIG: dict[str, Any] = {
     "listen": "127.0.0.1:9000",
     "discovery": "127.0.0.1:8500",
     "limits": {"cores": 0.3, "memory_mb": 80, "sockets": 512},
-    "settings": {**SETTINGS, "balancers": MOST, "me": MOST - 1},
+    "settings": {**SETTINGS, "balancers": FLEET_SIZE, "me": FLEET_SIZE - 1},
 }
 
 
-def test_a_thousand_limiters_and_servers_in_half_of_the_memory(tmp_path: Path) -> None:
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, "known": host_list(1, *hosts(MOST))}))
+def test_thousand_limiters_and_servers_use_under_half_of_memory(tmp_path: Path) -> None:
+    """A limiter with a thousand peers and servers must stay under half of its memory limit."""
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps({**VALID_CONFIG, "known": host_list(1, *host_entries(FLEET_SIZE))}))
     tracemalloc.start()
     try:
-        made = load({"GW_CONFIG": str(file), "GW_LISTEN": unused_address()})
-        assert made.settings.gateway_count == MOST and made.settings.gateway_id == MOST - 1
+        config = load({"GW_CONFIG": str(config_path), "GW_LISTEN": unused_address()})
+        assert config.settings.gateway_count == FLEET_SIZE and config.settings.gateway_id == FLEET_SIZE - 1
 
         async def test() -> None:
-            terms = f"units=1,spread={MOST},first={MOST - 1}"
+            call_terms = f"units=1,spread={FLEET_SIZE},first={FLEET_SIZE - 1}"
             async with (
-                backend() as one,
+                backend() as server,
                 running_limiter(
-                    *made.known["hosts"], host_entry("one", one.address), settings=GOOD["settings"]
-                ) as rig,
+                    *config.known["hosts"],
+                    host_entry("one", server.address),
+                    settings=VALID_CONFIG["settings"],
+                ) as fixture,
             ):
-                assert len(rig.limiter._gateway.fleet.ready) == MOST + 1
-                checked = rig.clients.validator._parse_call_terms(terms.encode())
-                assert checked == (1.0, MOST)
+                assert len(fixture.limiter._gateway.fleet.ready) == FLEET_SIZE + 1
+                parsed_terms = fixture.clients.validator._parse_call_terms(call_terms.encode())
+                assert parsed_terms == (1.0, FLEET_SIZE)
 
         run(test())
-        peak = tracemalloc.get_traced_memory()[1]
+        peak_bytes = tracemalloc.get_traced_memory()[1]
     finally:
         tracemalloc.stop()
-    program = 20 << 20  # that the interpreter and its modules take before any list
-    assert peak + program < made_memory(GOOD) / 2
+    program_bytes = 20 << 20  # of the interpreter and its modules, before any server list
+    assert peak_bytes + program_bytes < memory_limit_bytes(VALID_CONFIG) / 2
 
 
-def made_memory(raw: dict[str, Any]) -> float:
-    return float(raw["limits"]["memory_mb"]) * (1 << 20)
+def memory_limit_bytes(raw_config: dict[str, Any]) -> float:
+    """Return the memory limit in a configuration."""
+    return float(raw_config["limits"]["memory_mb"]) * (1 << 20)
 
 
 @pytest.mark.parametrize(
-    ("key", "wrong", "named"),
+    ("key", "invalid_value", "expected_error"),
     [
         ("limits", {"sockets": 10}, "sockets"),
         ("limits", {"memory_mb": float("nan")}, "memory_mb"),
@@ -202,10 +226,10 @@
         ),
     ],
 )
-def test_a_configuration_out_of_its_range_names_the_entry(
-    tmp_path: Path, key: str, wrong: object, named: str
+def test_out_of_range_entry_is_named_in_the_error(
+    tmp_path: Path, key: str, invalid_value: object, expected_error: str
 ) -> None:
-    file = tmp_path / "config.json"
-    file.write_text(json.dumps({**GOOD, key: wrong}))
-    with pytest.raises(ConfigError, match=named):
-        load({"GW_CONFIG": str(file)})
+    config_path = tmp_path / "config.json"
+    config_path.write_text(json.dumps({**VALID_CONFIG, key: invalid_value}))
+    with pytest.raises(ConfigError, match=expected_error):
+        load({"GW_CONFIG": str(config_path)})
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""The first seconds of a limiter that starts under full load."""
+"""The caps of a limiter that starts under full load."""
 
 from __future__ import annotations
 
@@ -18,64 +18,72 @@
     running_limiter,
 )
 
-AIMED = {"services": [{**service, "aimMs": 400.0} for service in SETTINGS["services"]]}
-HELD = 6  # slow requests that are out at any time
-SLOW_STEPS, STEP_MS, QUICK_MS = 15, 20.0, 5.0
+SETTINGS_WITH_400_MS_AIM = {"services": [{**service, "aimMs": 400.0} for service in SETTINGS["services"]]}
+SLOW_REQUEST_COUNT = 6  # outstanding at any time
+# Each step submits one fast request; a slow one stays outstanding for about SLOW_REQUEST_STEPS steps.
+SLOW_REQUEST_STEPS, STEP_MS, FAST_LATENCY_MS = 15, 20.0, 5.0
 
 
 @dataclass
-class Out:
-    """A request that the server has, and its client."""
+class OutstandingRequest:
+    """A request that a server has received and not answered, and its client."""
 
     client: Client
     request: ReceivedRequest
 
-    async def end(self) -> None:
+    async def complete(self) -> None:
+        """Answer the request and check that the client gets a 200."""
         self.request.reply(body=b"x")
         assert (await self.client.read_response()).status_code == 200
 
 
-async def ask(rig: LimiterFixture, server: Backend, ident: str) -> Out | None:
-    """Send a request on; None where it is refused."""
-    client = await rig.connect()
-    client.send(build_request(request_id=ident))
-    answer, arrival = (
+async def submit(fixture: LimiterFixture, server: Backend, request_id: str) -> OutstandingRequest | None:
+    """Submit a request; return it once the server has received it, or None if the limiter refuses it."""
+    client = await fixture.connect()
+    client.send(build_request(request_id=request_id))
+    response, arrival = (
         asyncio.create_task(client.read_response()),
         asyncio.create_task(server.request_queue.get()),
     )
-    await asyncio.wait({answer, arrival}, return_when=asyncio.FIRST_COMPLETED)
-    if answer.done():
+    await asyncio.wait({response, arrival}, return_when=asyncio.FIRST_COMPLETED)
+    if response.done():
         arrival.cancel()
         return None
-    answer.cancel()
-    await asyncio.wait({answer})
-    return Out(client, arrival.result())
+    response.cancel()
+    await asyncio.wait({response})
+    return OutstandingRequest(client, arrival.result())
 
 
-def test_the_caps_do_not_begin_at_nothing() -> None:
-    """Quick answers beside slow ones look like load; as many as are out all the time may stay out."""
+def test_initial_caps_admit_the_concurrency_in_use() -> None:
+    """Guards against caps that start too low, so that a limiter refuses requests right after its start.
+
+    A mix of fast and slow responses looks like overload; the caps must still admit the number of requests
+    that is outstanding all the time.
+    """
 
     async def test() -> None:
         async with (
             backend() as server,
-            running_limiter(host_entry("a", server.address), settings=AIMED) as rig,
+            running_limiter(host_entry("a", server.address), settings=SETTINGS_WITH_400_MS_AIM) as fixture,
         ):
-            clock = [rig.limiter._now_ms()]
-            rig.limiter._now_ms = lambda: clock[0]  # type: ignore[method-assign]
-            held: list[Out | None] = []
-            refused = 0
+            clock_ms = [fixture.limiter._now_ms()]
+            fixture.limiter._now_ms = lambda: clock_ms[0]  # type: ignore[method-assign]
+            slow_requests: list[OutstandingRequest | None] = []
+            refused_count = 0
             for step in range(80):
-                while len(held) < HELD:
-                    held.append(await ask(rig, server, f"slow-{step}-{len(held)}"))
-                quick = await ask(rig, server, f"quick-{step}")
-                clock[0] += QUICK_MS
-                if quick:
-                    await quick.end()
-                clock[0] += STEP_MS - QUICK_MS
-                if step % (SLOW_STEPS // HELD) == 0 and (oldest := held.pop(0)):
-                    await oldest.end()
-                refused += (quick is None) + held.count(None)
-                held = [out for out in held if out]
-            assert not refused
+                while len(slow_requests) < SLOW_REQUEST_COUNT:
+                    slow_requests.append(await submit(fixture, server, f"slow-{step}-{len(slow_requests)}"))
+                fast_request = await submit(fixture, server, f"fast-{step}")
+                clock_ms[0] += FAST_LATENCY_MS
+                if fast_request:
+                    await fast_request.complete()
+                clock_ms[0] += STEP_MS - FAST_LATENCY_MS
+                if step % (SLOW_REQUEST_STEPS // SLOW_REQUEST_COUNT) == 0 and (
+                    oldest_request := slow_requests.pop(0)
+                ):
+                    await oldest_request.complete()
+                refused_count += (fast_request is None) + slow_requests.count(None)
+                slow_requests = [request for request in slow_requests if request]
+            assert not refused_count
 
     run(test())
