--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -12,11 +12,10 @@
 
 Address = tuple[str, int]
 
-# Limits that apply if the file states none: what the deployment grants a limiter in production.
+# The default limits are what the deployment grants a limiter in production.
 DEFAULT_SOCKET_COUNT = 1024  # file descriptors
+MIN_SOCKET_COUNT = 64  # for the event loop, the listener, discovery, and some connections to either side
 DEFAULT_MEMORY_MB = 192.0  # the most that the deployment grants
-
-MIN_SOCKET_COUNT = 64  # the event loop, the listener, discovery, and some connections to either side
 BASE_MEMORY_MB = 20.0  # for the program with all its tables, which used 14 MB in the longest load run
 # Copies of a body held at a time: its received pieces, the joined body, the message to a server, and the part
 # of that message that is not yet sent.
