--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -19,85 +19,132 @@
 from ironstage import latency
 from ironstage.interface import CallStatus, DedupScope, RetrySafety, ServerState
 
-# --- Constants: unit, reason -------------------------------------------------------------------
-RERUN_MS = 500.0  # ms; thresholds follow a load that moves in seconds
-WINDOW_MS = 5000.0  # ms; latency window: some hundred completions at tens of requests a second
-FEWEST = 10  # completions that the window holds at least, however old; below, the last thresholds stay
-OLDEST_MS = 20000.0  # ms; older ones say nothing of now
-POOLING = 1.5  # roots of a threshold that chance may add: own small counts swing, their sum hardly
-LEAST_CAP = 0.2  # requests; a lane is never shut: without completions it could not open again
-AIM_PART = 0.15  # of lane one's aim as bound on the mean: most answers, not half, shall be within it
-TIGHT = 1.34  # times the tightest aim: what still counts as tight; nearer aims are one lane
-LITTLE_WORTH = 0.3  # late worth up to which attempts end at the aim
-FLOORS = tuple(n / 10 for n in range(9, 1, -1))  # of lane two's arrivals as T: the highest feasible
-LOW_RISE = 1.3  # a rerun; how fast the remembered light-load latency may rise: doubles in some 2 s
-BOUND = 96  # most of either threshold in the search; caps its cost (about 5 ms in CPython)
-LAG_STEP_MS = 100.0  # ms; the lag between a period's end and its use being heard is sought in steps
-LAG_STEPS = 30  # of these; a meter later than this is not followed
-LAG_START = 8  # steps; the guess before evidence
-PART_ERROR = 0.15  # of our part of a customer, by which it may be misjudged
-LAG_PULL = 0.1  # of a miss's usual size for each squared step from that guess; breaks ties only
-PHASE_KEEP = 0.95  # of the evidence on when readings change kept at each change; not varied
-LAG_KEEP = 0.995  # of the evidence kept a reading: some hundred readings decide
-HISTORY_MS = 10000.0  # ms; own first sends kept of a customer, at least: the meter's lag in view
-SHARE_PRIOR = 8.0  # units; weight of "evenly spread" against metered evidence of our share
-OWN_LEAST = 1.0  # units of a burst that are ours; with fewer, own sends tell nothing of the store
-PRIOR_USE = 1.0  # of the rate; what a customer is taken to use before its meter was read
-PRIOR_UNITS = 0.3  # units that this guess weighs
-READING_KEEP = 0.5  # of the earlier readings' weight kept at a new one
-STORE_USE = 0.7  # of the rate; what the others are taken to draw together
-STORE_UNITS = 0.7  # units that this guess weighs at least
-STORE_DOOR = 0.1  # units that it weighs for each door: our part of many is thin, and shifts within seconds
-FORGET_MS = 40000.0  # ms; a customer idle so long, its stores full, has nothing left to remember
-LIGHT_MS = 10000.0  # ms; nor has one idle so long of whom little more than one try was seen
-LIGHT_UNITS = 1.0  # of tries and metered use, faded; up to that it is little
-TIDY_MS = 1000.0  # ms; how often such customers are looked for
-MOST_CUSTOMERS = 5000  # some 2 KB each; beyond, the longest idle go as soon as their ceiling is full
-AGE_MS = 20000.0  # ms; readings lose weight over such times: customers change their ways
-THEN_LEAST = 0.05  # the least share that a reading is divided by
-SHARE_KEEP = 0.85  # of that evidence kept a metered period: weights shift within tens of seconds
-SURE_ROOM = 0.25  # of the burst; with more than this left in the store the share is not asked
-KEPT = 0.1  # of the burst, times what a request's worth falls short of the dearest's: kept for such
-KEPT_OVER = 0.8  # of the same, times the root of what the let-in share falls short of 1
-KEPT_DOOR = 0.06  # more of that for each door: among many the share is a rough guess, and dear tries gain
-DEBT = 1.0  # of the burst; how far below empty the store estimate may run
-LOSS = 0.15  # of the recent attempts; with more time-outs though answers come quickly, answers get lost
-MOST = (
-    0.9  # of the answers; what waited for less than they took tells of no lost one: fewer are late than LOSS
-)
-QUICK = 0.25  # of the tightest aim; three in four answers within it are quick
-GIVEN_UP = 2.0  # times its wait, what given-up work takes in all: long work has on average as much before it
-EARLY = 0.5  # of the time left; repeatable work is then given up so early, and tried once more
-LATE = 0.65  # of the time left; repeatable work is given up then while more is lost than is late
-TAIL = 0.01  # of the recent answers may be late then: else it is load, and one more try feeds it
-STRAY = 0.02  # of the recent attempts; with fewer time-outs hardly an answer gets lost
-WAITS = 64  # of a class's latest tries; of these the wait of first ones is read
-WAIT_STEP_MS = 8.0  # waits so near are one: on its way a try loses a little
-COMMON = 0.7  # of the tries with the commonest wait; one that so many share is a first try's, too
-LATEST = 0.5  # of the aim; a repeat with less than the mean latency left, or this, comes too late
-SPARE = 0.5  # of the burst; beyond it a try that comes too late takes nothing that others need
-FEW = 0.6  # of the ready servers; more suspects than this mean a slow back end, not lost servers
-REFERENCE_MS = 200.0  # ms; mean latency before anything was measured
-RETEST_MS = 1000.0  # ms; first wait before a suspect gets a trial; it grows with each that fails
-RETEST_GROWTH = 2.0  # times, for few gateways; for more by the root of their number
-RETEST_MOST = 8.0  # times the first wait, for few gateways; for more in proportion
-FEW_GATEWAYS = 4  # whose trials together a suspect bears
-JITTER = 0.3  # of a wait on top of it at most: many limiters learn of a lost server at once
-ERRORS = 2  # with no good answer between; a server that fails at once looks free and draws all traffic
-FULL_MS = 200.0  # ms; a server that turned a request away is left alone this long, by many for longer
-COLD_PART = 1.2  # of its warm part of a warm server's flow: that part is the least a cold one can have
-COLD_MOST = (
-    0.6  # of the cold rule's multiple; the same at most, times its warm part of the mean flow to a server
-)
-STRENGTH_MS = 250.0  # ms; how often the fleet's warm parts are added up
-BUSY_WEIGHT = 2.0  # requests that a wholly busy report counts for; 0 and 6 were no better
-LOOKS = 12  # random servers looked at for a send
-GOOD = 2.0  # times the mean latency: an answer within it tells of no queue; of an idle server most are
-GOOD_MS = WINDOW_MS  # ms; how long one tells of its server
-KNOWN = 0.5  # of a request out; what a server known to answer is preferred by: it decides between equals only
-USUAL_PART = 0.1  # of a report that goes into the usual load, which stands for a missing or old one
-ZONE_MISSES = 3  # failures with no answer from a zone between; it is then left alone but for trials
-REPORT_MS = 1500.0  # ms; a load report older than this says nothing
+# --- Constants: lanes and thresholds --------------------------------------------------------------
+THRESHOLD_UPDATE_INTERVAL_MS = 500.0  # short, because the load changes within seconds
+LOAD_WINDOW_MS = 5000.0  # holds some hundred completions at tens of requests a second
+# The window keeps at least so many completions, up to the maximum age; with fewer, the thresholds stay as
+# they are.
+MIN_OBSERVATION_COUNT = 10
+MAX_OBSERVATION_AGE_MS = 20000.0  # older observations say nothing about the present load
+# Margin above a threshold, in square roots of the threshold: the small counts of one gateway fluctuate
+# by chance, while their sum over all gateways hardly does.
+CAP_MARGIN_STDDEVS = 1.5
+MIN_LANE_CAP_REQUESTS = 0.2  # above 0, because a lane without completions could never open again
+# Bound on lane one's mean latency, as a fraction of its aim: most answers shall be within the aim, not half.
+MEAN_LATENCY_BOUND_AIM_FRACTION = 0.15
+SAME_LANE_AIM_FACTOR = 1.34  # classes with aims up to this multiple of the tightest aim are in lane one
+LOW_LATE_WORTH = 0.3  # attempts of classes with a late worth up to this end at the aim
+# Minimum throughput T of lane two, as fractions of its arrivals; the highest feasible one is used.
+LANE_TWO_FLOOR_FRACTIONS = tuple(n / 10 for n in range(9, 1, -1))
+# Bounds the growth of the remembered light-load latency at each threshold update: it doubles in some 2 s.
+LIGHT_LATENCY_MAX_GROWTH_FACTOR = 1.3
+MAX_SEARCH_THRESHOLD = 96  # largest value of either threshold; bounds the search (about 5 ms in CPython)
+
+# --- Constants: meter lag and the gateway's fraction of a customer's traffic ----------------------
+# The lag is the time from the end of a metered period until its use appears in answers.
+METER_LAG_STEP_MS = 100.0
+METER_LAG_STEP_COUNT = 30  # a meter that is later than this many steps is not followed
+INITIAL_METER_LAG_STEPS = 8  # assumed before any evidence
+TRAFFIC_FRACTION_RELATIVE_ERROR = 0.15  # error allowed for in the fraction of a customer's traffic
+# Weight of the initial lag: error added for each squared step away from it, in units of the normal
+# squared prediction error. Small, so that it only breaks ties.
+METER_LAG_PRIOR_WEIGHT = 0.1
+METER_PHASE_RETENTION_FACTOR = 0.95  # evidence on when readings change: kept at each change
+METER_LAG_RETENTION_FACTOR = 0.995  # lag errors: kept at each reading, so some hundred readings decide
+SEND_HISTORY_MS = 10000.0  # minimum length of a customer's send history; exceeds the meter's lag
+TRAFFIC_FRACTION_PRIOR_UNITS = 8.0  # weight of an even spread over gateways against metered evidence
+# With a smaller part of the burst, the gateway's own sends say nothing about the token bucket's level.
+MIN_OWN_BURST_UNITS = 1.0
+
+# --- Constants: admission share and token bucket of a customer ------------------------------------
+PRIOR_USE_RATE_FRACTION = 1.0  # use assumed before the first reading, as a fraction of the rate
+PRIOR_USE_WEIGHT_UNITS = 0.3
+READING_RETENTION_FACTOR = 0.5  # weight of earlier readings: kept at each new one
+OTHERS_PRIOR_USE_RATE_FRACTION = 0.7  # use assumed for all other gateways together
+OTHERS_PRIOR_MIN_WEIGHT_UNITS = 0.7
+# The weight grows with the customer's gateways: the fraction of traffic that one of many gateways sees is
+# small and changes within seconds.
+OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY = 0.1
+# A customer that was idle for so long, with full token buckets, has no state worth keeping.
+CUSTOMER_EXPIRY_MS = 40000.0
+LIGHT_CUSTOMER_EXPIRY_MS = 10000.0  # the same for a customer with little demand
+LIGHT_CUSTOMER_MAX_UNITS = 1.0  # decayed demand and metered use up to which a customer counts as light
+CUSTOMER_EXPIRY_INTERVAL_MS = 1000.0
+# At some 2 KB each; beyond this count the longest idle are removed as soon as their ceiling bucket is full.
+MAX_CUSTOMER_COUNT = 5000
+USE_DECAY_MS = 20000.0  # time constant of the decay of readings and demand: customers change their habits
+MIN_ADMISSION_SHARE_DIVISOR = 0.05  # lower bound of the admission share that metered use is divided by
+TRAFFIC_FRACTION_RETENTION_FACTOR = 0.85  # kept at each metered period: traffic shifts within tens of seconds
+# With more than this fraction of the burst left in the bucket, the admission share is not applied.
+UNCONDITIONAL_LEVEL_BURST_FRACTION = 0.25
+# Reserve for requests of more worth, as fractions of the burst. Each is multiplied by how far the request's
+# worth, as a fraction of the highest worth, is below 1.
+BASE_RESERVE_BURST_FRACTION = 0.1
+OVER_QUOTA_RESERVE_BURST_FRACTION = 0.8  # also multiplied by the root of (1 - admission share)
+# Added to the latter for each gateway of the customer: with many gateways the admission share is a rough
+# estimate, and the reserve favours attempts of high worth.
+OVER_QUOTA_RESERVE_BURST_FRACTION_PER_GATEWAY = 0.06
+MAX_BUCKET_DEBT_BURST_FRACTION = 1.0  # how far below empty the estimated level may fall
+
+# --- Constants: lost answers and late retries -----------------------------------------------------
+# Heavy answer loss: the fraction of attempts that time out exceeds this although answers come quickly.
+HEAVY_LOSS_MIN_ATTEMPT_FRACTION = 0.15
+# A timeout after less than this quantile of the answer times is no evidence of a lost answer. Fewer answers
+# take longer than the quantile than must be missing for a heavy loss.
+ANSWER_LOSS_MIN_WAIT_QUANTILE = 0.9
+# Answers come quickly if three in four take less than this fraction of the tightest aim.
+FAST_ANSWER_AIM_FRACTION = 0.25
+# Total work of an attempt that timed out, as a multiple of the time waited for it: an attempt caught in long
+# work has on average as much of that work left as is done.
+TIMED_OUT_WORK_FACTOR = 2.0
+# Attempt timeouts, as fractions of the time left, that leave time for a retry of work that may be repeated.
+HEAVY_LOSS_ATTEMPT_TIME_FRACTION = 0.5
+LIGHT_LOSS_ATTEMPT_TIME_FRACTION = 0.65
+# With a larger fraction of recent answers late, timeouts are a sign of load, and retries would add to it.
+LIGHT_LOSS_MAX_LATE_FRACTION = 0.01
+LIGHT_LOSS_MIN_TIMEOUT_RATIO = 0.02  # timeouts to answers; below this, hardly any answer is lost
+CLIENT_WAIT_SAMPLE_COUNT = 64  # latest requests of a class that the wait of first attempts is read from
+CLIENT_WAIT_BIN_MS = 8.0  # waits this close count as equal: a request loses some time on its way
+# Bins with at least this fraction of the most frequent bin's count hold waits of first attempts, too.
+FIRST_ATTEMPT_BIN_MIN_FRACTION = 0.7
+# A retry is late with less time left to its aim than the mean latency or this fraction of the aim,
+# whichever is less.
+LATE_RETRY_TIME_LEFT_AIM_FRACTION = 0.5
+# With more than this fraction of the burst left in the bucket, a late retry takes nothing from others.
+AMPLE_LEVEL_BURST_FRACTION = 0.5
+
+# --- Constants: server health, load and choice ----------------------------------------------------
+# With a larger fraction of the ready servers suspect, the back end is slow; the servers are not lost.
+OVERLOAD_SUSPECT_FRACTION = 0.6
+INITIAL_MEAN_LATENCY_MS = 200.0  # assumed before any observation
+TRIAL_BACKOFF_MS = 1000.0  # wait before a suspect's first trial; grows with each trial that fails
+TRIAL_BACKOFF_GROWTH_FACTOR = 2.0  # with few gateways; with more, times the root of their relative number
+TRIAL_BACKOFF_MAX_FACTOR = 8.0  # of the first wait, with few gateways; with more, in proportion
+FEW_GATEWAY_COUNT = 4  # a suspect can bear the trials of this many gateways together
+MAX_JITTER_FRACTION = 0.3  # added to a wait at most, as many gateways notice a lost server at once
+# Errors without a success in between that make a server suspect: a server that fails at once looks idle and
+# would draw all traffic.
+SUSPECT_ERROR_COUNT = 2
+REJECTION_AVOIDANCE_MS = 200.0  # a server that rejected a request is avoided so long; longer by many gateways
+# A cold server's flow, as a multiple of its warm fraction of a warm server's flow: the warm fraction is the
+# least capacity that it can have.
+COLD_SERVER_FLOW_FACTOR = 1.2
+# Upper bound of a cold server's flow: this fraction of the cold rule's `tip_multiple`, times the server's
+# warm fraction of the mean flow to a server.
+COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION = 0.6
+WARM_CAPACITY_UPDATE_INTERVAL_MS = 250.0
+FULL_UTILIZATION_LOAD_REQUESTS = 2.0  # outstanding requests that a reported utilization of 1 counts for
+CANDIDATE_SAMPLE_COUNT = 12  # servers sampled at random for an attempt
+# An answer within this multiple of the mean latency is prompt: the server has no queue. Most answers of an
+# idle server are prompt.
+PROMPT_ANSWER_LATENCY_FACTOR = 2.0
+PROMPT_ANSWER_VALIDITY_MS = LOAD_WINDOW_MS  # how long a prompt answer is evidence about its server
+# Advantage, in outstanding requests, of a server with a recent prompt answer: it decides between equals only.
+PROMPT_ANSWER_BONUS_REQUESTS = 0.5
+# Weight of a new report in the moving average of the load, which replaces a missing or old report.
+MEAN_LOAD_SMOOTHING_FACTOR = 0.1
+ZONE_EJECTION_FAILURE_COUNT = 3  # failures without an answer in between; then a zone gets trials only
+LOAD_REPORT_VALIDITY_MS = 1500.0
 
 INF = math.inf
 
@@ -129,7 +176,7 @@
 def unbounded_lane_two(rho1: float, rho2: float, sojourn: float) -> float:
     """The largest M1 with S1(M1, inf) within bound; 0 where there is none."""
     best = 0.0
-    for m1 in range(1, BOUND + 1 if rho2 < 1 else 1):
+    for m1 in range(1, MAX_SEARCH_THRESHOLD + 1 if rho2 < 1 else 1):
         if j_sums(m1, rho2, rho1)[2] > sojourn * rho1 * j_sums(m1 - 1, rho2, rho1)[0]:
             break
         best = m1
@@ -165,13 +212,13 @@
     last = unbounded_lane_two(rho1, rho2, sojourn)
     if floor >= 1:
         return (last, INF) if last else None
-    least = next((m for m in range(BOUND) if sole_caller(rho1, rho2, m)[1] >= floor), None)
+    least = next((m for m in range(MAX_SEARCH_THRESHOLD) if sole_caller(rho1, rho2, m)[1] >= floor), None)
     if least is None or sole_caller(rho1, rho2, least)[0] > sojourn:
         return None
-    column = [rho1**m1 for m1 in range(BOUND + 1)]
-    rows, before = list(column), [0.0] * (BOUND + 1)
+    column = [rho1**m1 for m1 in range(MAX_SEARCH_THRESHOLD + 1)]
+    rows, before = list(column), [0.0] * (MAX_SEARCH_THRESHOLD + 1)
     best, top = None, 0.0
-    for m2 in range(BOUND + 1):
+    for m2 in range(MAX_SEARCH_THRESHOLD + 1):
         if m2:
             column = [pi * rho2 * (m1 + m2) / m2 for m1, pi in enumerate(column)]
             before, rows = rows, [a + b for a, b in zip(rows, column, strict=True)]
@@ -212,15 +259,18 @@
 
     def __init__(self, period: float) -> None:
         self.period = period
-        self.errors = [(step - LAG_START) ** 2 * LAG_PULL for step in range(LAG_STEPS)]
+        self.errors = [
+            (step - INITIAL_METER_LAG_STEPS) ** 2 * METER_LAG_PRIOR_WEIGHT
+            for step in range(METER_LAG_STEP_COUNT)
+        ]
         self.sine = self.cosine = 0.0
 
     def changed(self, before: float, now: float) -> None:
         """A customer's reading changed between two answers: the meter moved on in between."""
         if now - before < self.period / 4:
             angle = math.tau * ((before + now) / 2 % self.period) / self.period
-            self.sine = PHASE_KEEP * self.sine + math.sin(angle)
-            self.cosine = PHASE_KEEP * self.cosine + math.cos(angle)
+            self.sine = METER_PHASE_RETENTION_FACTOR * self.sine + math.sin(angle)
+            self.cosine = METER_PHASE_RETENTION_FACTOR * self.cosine + math.cos(angle)
 
     def moved(self, now: float) -> float:
         """When the present readings came out."""
@@ -229,8 +279,8 @@
 
     def window(self, now: float) -> tuple[float, float]:
         """Start and end of the period that a reading heard now speaks of."""
-        best = min(range(LAG_STEPS), key=lambda step: self.errors[step])
-        end = self.moved(now) - best * LAG_STEP_MS
+        best = min(range(METER_LAG_STEP_COUNT), key=lambda step: self.errors[step])
+        end = self.moved(now) - best * METER_LAG_STEP_MS
         return end - self.period, end
 
     def learn(self, now: float, customer: Customer, whole: float) -> None:
@@ -240,11 +290,13 @@
         few largest customers decide, by noise. It hurts where the large ones alone are steady.
         """
         moved, part = self.moved(now), customer.part()
-        spread = 1.0 + whole * (1.0 - part) / part + (PART_ERROR * whole / part) ** 2
-        for step in range(LAG_STEPS):
-            end = moved - step * LAG_STEP_MS
+        spread = 1.0 + whole * (1.0 - part) / part + (TRAFFIC_FRACTION_RELATIVE_ERROR * whole / part) ** 2
+        for step in range(METER_LAG_STEP_COUNT):
+            end = moved - step * METER_LAG_STEP_MS
             own = customer.drawn(end)[0] - customer.drawn(end - self.period)[0]
-            self.errors[step] = self.errors[step] * LAG_KEEP + (own / part - whole) ** 2 / spread
+            self.errors[step] = (
+                self.errors[step] * METER_LAG_RETENTION_FACTOR + (own / part - whole) ** 2 / spread
+            )
 
 
 class Customer:
@@ -296,8 +348,8 @@
 
     def part(self) -> float:
         """Our part of the customer's traffic, learned from the meter; even before evidence."""
-        prior = SHARE_PRIOR / self.doors
-        return min(1.0, (self.own + prior) / (self.whole + SHARE_PRIOR))
+        prior = TRAFFIC_FRACTION_PRIOR_UNITS / self.doors
+        return min(1.0, (self.own + prior) / (self.whole + TRAFFIC_FRACTION_PRIOR_UNITS))
 
     def share(self, now: float) -> float:
         """The let-in share: the rate over the use that readings, own tries and a thin guess foretell.
@@ -306,16 +358,25 @@
         """
         if self.plan.rate <= 0:
             return min(1.0, 100.0 / (self.usage or 100.0))
-        weight, rate = math.exp((self.read_at - now) / AGE_MS), self.plan.rate / 1000.0
-        units = PRIOR_UNITS + self.used * weight + self.asked * math.exp((self.asked_at - now) / AGE_MS)
-        watched = self.part() * AGE_MS * (1.0 - math.exp((self.born - now) / AGE_MS))
-        return min(1.0, rate * (PRIOR_UNITS / (PRIOR_USE * rate) + self.seen * weight + watched) / units)
+        weight, rate = math.exp((self.read_at - now) / USE_DECAY_MS), self.plan.rate / 1000.0
+        units = (
+            PRIOR_USE_WEIGHT_UNITS
+            + self.used * weight
+            + self.asked * math.exp((self.asked_at - now) / USE_DECAY_MS)
+        )
+        watched = self.part() * USE_DECAY_MS * (1.0 - math.exp((self.born - now) / USE_DECAY_MS))
+        return min(
+            1.0,
+            rate
+            * (PRIOR_USE_WEIGHT_UNITS / (PRIOR_USE_RATE_FRACTION * rate) + self.seen * weight + watched)
+            / units,
+        )
 
     def unseen(self) -> tuple[float, float]:
         """What the others draw in a burst's time for each own unit, and units a ms besides (as share)."""
         part, rate = self.part(), max(1e-9, self.plan.rate / 1000.0)
-        guess = max(STORE_UNITS, STORE_DOOR * self.doors)
-        weight = guess / (STORE_USE * rate) + part * self.plan.burst / rate
+        guess = max(OTHERS_PRIOR_MIN_WEIGHT_UNITS, OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY * self.doors)
+        weight = guess / (OTHERS_PRIOR_USE_RATE_FRACTION * rate) + part * self.plan.burst / rate
         return (1.0 - part) * self.plan.burst / rate / weight, (1.0 - part) * guess / weight
 
     def draw(self, now: float, units: float) -> None:
@@ -324,10 +385,10 @@
         taken = units * (1.0 + lump)
         self.store.rate = self.plan.rate - 1000.0 * besides
         self.store.refill(now)
-        self.store.level = max(-DEBT * self.plan.burst, self.store.level - taken)
+        self.store.level = max(-MAX_BUCKET_DEBT_BURST_FRACTION * self.plan.burst, self.store.level - taken)
         self.log.append((now, self.log[-1][1] + units, self.log[-1][2] + taken))
         half = len(self.log) // 2
-        if half > 8 and self.log[half][0] < now - HISTORY_MS:
+        if half > 8 and self.log[half][0] < now - SEND_HISTORY_MS:
             del self.log[:half]
         if self.plan.ceiling_rate > 0:
             self.ceiling.level -= units
@@ -336,9 +397,9 @@
         """Whether one made anew would stand as this one does; when pressed the ceiling alone counts."""
         if self.out or self.ceiling.refill(now) < self.ceiling.depth:
             return False
-        faded = self.asked * math.exp((self.asked_at - now) / AGE_MS)
-        light = max(faded, self.whole) <= LIGHT_UNITS
-        idle = now - self.asked_at >= (LIGHT_MS if light else FORGET_MS)
+        faded = self.asked * math.exp((self.asked_at - now) / USE_DECAY_MS)
+        light = max(faded, self.whole) <= LIGHT_CUSTOMER_MAX_UNITS
+        idle = now - self.asked_at >= (LIGHT_CUSTOMER_EXPIRY_MS if light else CUSTOMER_EXPIRY_MS)
         return pressed or (idle and self.store.refill(now) >= self.store.depth)
 
     def drawn(self, until: float) -> tuple[float, float]:
@@ -352,19 +413,22 @@
             return
         if usage != self.usage and self.usage is not None:
             clock.changed(before, now)
-        then, last = max(THEN_LEAST, self.share(now)), self.read_at  # use is the outcome of that share
+        then, last = (
+            max(MIN_ADMISSION_SHARE_DIVISOR, self.share(now)),
+            self.read_at,
+        )  # use is the outcome of that share
         self.usage, self.read_at, period = usage, now, clock.period
         start, end = clock.window(now)
         whole = usage / 100.0 * self.plan.rate * period / 1000.0
-        keep = READING_KEEP * math.exp((last - now) / AGE_MS)
+        keep = READING_RETENTION_FACTOR * math.exp((last - now) / USE_DECAY_MS)
         self.seen = self.seen * keep + period
         self.used = self.used * keep + whole / then
         if self.plan.rate <= 0:
             return
         clock.learn(now, self, whole)
         own = self.drawn(end)[0] - self.drawn(start)[0]
-        self.own = self.own * SHARE_KEEP + min(own, whole)
-        self.whole = self.whole * SHARE_KEEP + whole
+        self.own = self.own * TRAFFIC_FRACTION_RETENTION_FACTOR + min(own, whole)
+        self.whole = self.whole * TRAFFIC_FRACTION_RETENTION_FACTOR + whole
         self._anchor(now, start, end, whole)
 
     def _anchor(self, now: float, start: float, end: float, whole: float) -> None:
@@ -379,11 +443,14 @@
         level = min(burst, max(0.0, level + rate * (end - start) - whole))
         self.anchor = (level, end)
         left = level + net * (now - end) - (self.log[-1][2] - taken[2])
-        self.store.level, self.store.at = min(burst, max(-DEBT * burst, left)), now
+        self.store.level, self.store.at = min(burst, max(-MAX_BUCKET_DEBT_BURST_FRACTION * burst, left)), now
 
     def spares(self, now: float, units: float) -> bool:
         """Whether the store has so much left that these units will hardly be missed."""
-        return self.plan.rate <= 0 or self.store.refill(now) - units >= SPARE * self.plan.burst
+        return (
+            self.plan.rate <= 0
+            or self.store.refill(now) - units >= AMPLE_LEVEL_BURST_FRACTION * self.plan.burst
+        )
 
     def _kept(self, share: float, worth: float) -> float:
         """Units that a request leaves in the store for dearer ones, by its worth as a part of the dearest's.
@@ -392,20 +459,25 @@
         estimate a margin. It hurts a customer that asks for cheap things alone: that much of its burst, and
         where it is beyond its quota a little of its rate, go unused.
         """
-        over = (KEPT_OVER + KEPT_DOOR * self.doors) * math.sqrt(1.0 - share)
-        return (KEPT + over) * (1.0 - worth) * self.plan.burst
+        over = (
+            OVER_QUOTA_RESERVE_BURST_FRACTION + OVER_QUOTA_RESERVE_BURST_FRACTION_PER_GATEWAY * self.doors
+        ) * math.sqrt(1.0 - share)
+        return (BASE_RESERVE_BURST_FRACTION + over) * (1.0 - worth) * self.plan.burst
 
     def lets_in(self, now: float, units: float, dice: float, worth: float = 1.0) -> bool:
         """The let-in share; a store full enough passes without it where it rests on own sends."""
         share = self.share(now)
-        self.asked = self.asked * math.exp((self.asked_at - now) / AGE_MS) + units
+        self.asked = self.asked * math.exp((self.asked_at - now) / USE_DECAY_MS) + units
         self.asked_at = now
         if self.plan.parallel and self.out / self.part() >= self.plan.parallel and self.out:
             return False
         if self.plan.rate <= 0:
             return dice < share
         left = self.store.refill(now) - units - self._kept(share, worth)
-        sure = self.part() * self.plan.burst >= OWN_LEAST and left >= SURE_ROOM * self.plan.burst
+        sure = (
+            self.part() * self.plan.burst >= MIN_OWN_BURST_UNITS
+            and left >= UNCONDITIONAL_LEVEL_BURST_FRACTION * self.plan.burst
+        )
         return sure or (left >= 0.0 and dice < share)
 
 
@@ -449,10 +521,10 @@
         self._ready: list[Peer] | None = None
         self.suspects: dict[int, Peer] = {}
         self.missed: dict[int, tuple[int, float]] = {}  # of a zone: failures since its last answer, when
-        self.mean_ms = REFERENCE_MS
+        self.mean_ms = INITIAL_MEAN_LATENCY_MS
         self.usual = 0.0
         self.strength, self.summed_ms = 1.0, -INF
-        self.patience = max(1.0, settings.gateway_count / FEW_GATEWAYS)
+        self.patience = max(1.0, settings.gateway_count / FEW_GATEWAY_COUNT)
         self.due: deque[float] = deque()  # of first sends that quota and lane cap let through, sent or not
 
     def update(self, now: float, event: api.ServerList) -> None:
@@ -503,8 +575,13 @@
         """
         self.trim(now)
         servers = max(1, len(self.ready))
-        most = max(1.0, COLD_MOST * self.settings.tip_multiple)
-        flow = len(self.due) / WINDOW_MS / servers * min(COLD_PART * servers / self._strength(now), most)
+        most = max(1.0, COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * self.settings.tip_multiple)
+        flow = (
+            len(self.due)
+            / LOAD_WINDOW_MS
+            / servers
+            * min(COLD_SERVER_FLOW_FACTOR * servers / self._strength(now), most)
+        )
         gained = (now - max(peer.filled_ms, peer.told_ms)) * flow * self.warmth(peer, now)
         peer.allowance = min(1.0, peer.allowance + gained)
         peer.filled_ms = now
@@ -512,13 +589,13 @@
 
     def _strength(self, now: float) -> float:
         """How many warm servers those in use amount to; cold ones by their warm part."""
-        if now - self.summed_ms >= STRENGTH_MS:
+        if now - self.summed_ms >= WARM_CAPACITY_UPDATE_INTERVAL_MS:
             self.summed_ms = now
             self.strength = max(1.0, sum(self.warmth(peer, now) for peer in self.ready if not peer.suspect))
         return self.strength
 
     def trim(self, now: float) -> None:
-        while self.due and self.due[0] < now - WINDOW_MS:
+        while self.due and self.due[0] < now - LOAD_WINDOW_MS:
             self.due.popleft()
 
     def usable(self, peer: Peer, now: float) -> bool:
@@ -538,10 +615,14 @@
         if self.warmth(peer, now) < 1.0:
             return 0.0
         size = max(1e-3, peer.entry.relative_capacity)
-        fresh = max(0.0, 1.0 - (now - peer.load_ms) / REPORT_MS)
+        fresh = max(0.0, 1.0 - (now - peer.load_ms) / LOAD_REPORT_VALIDITY_MS)
         load = self.usual + fresh * (peer.load - self.usual)  # no report is not idleness
-        seldom = len(self.due) < len(self.ready)  # in a window, which is GOOD_MS
-        known = KNOWN if seldom and (peer.suspect or now - peer.good_ms < GOOD_MS) else 0.0
+        seldom = len(self.due) < len(self.ready)  # in a window, which is PROMPT_ANSWER_VALIDITY_MS
+        known = (
+            PROMPT_ANSWER_BONUS_REQUESTS
+            if seldom and (peer.suspect or now - peer.good_ms < PROMPT_ANSWER_VALIDITY_MS)
+            else 0.0
+        )
         return (1.0 + peer.waiting + load - known) / size
 
     def shunned_until(self, peer: Peer, now: float) -> float:
@@ -549,7 +630,12 @@
         # A zone cut off or restarting at once: with many gateways nobody can try each of its servers.
         missed, last = self.missed.get(peer.entry.zone, (0, 0.0))
         suspect = peer.retest_ms if peer.suspect else now
-        return max(now, suspect, peer.avoid_ms, last + RETEST_MS if missed >= ZONE_MISSES else now)
+        return max(
+            now,
+            suspect,
+            peer.avoid_ms,
+            last + TRIAL_BACKOFF_MS if missed >= ZONE_EJECTION_FAILURE_COUNT else now,
+        )
 
     def choose(
         self, now: float, allowed: Callable[[Peer], bool], tried: set[int], shunned: bool = True
@@ -564,7 +650,7 @@
             return self.shunned_until(peer, now), peer.entry.id in tried, self.cost(peer, now)
 
         ready = self.ready
-        for pool in (self.rng.sample(ready, min(LOOKS, len(ready))), ready):
+        for pool in (self.rng.sample(ready, min(CANDIDATE_SAMPLE_COUNT, len(ready))), ready):
             fit = [(rank(peer), peer) for peer in pool if self.usable(peer, now) and allowed(peer)]
             best = min(fit, key=lambda pair: pair[0], default=None)
             if best and best[0][0] <= now and not best[0][1]:
@@ -581,10 +667,15 @@
                 del self.peers[event.server_id]
             return
         if event.status is not CallStatus.CANCELLED:
-            soon = event.status is CallStatus.OK and event.elapsed_ms <= GOOD * self.mean_ms
+            soon = (
+                event.status is CallStatus.OK
+                and event.elapsed_ms <= PROMPT_ANSWER_LATENCY_FACTOR * self.mean_ms
+            )
             if not soon:
                 peer.good_ms = -INF
-            elif now - peer.good_ms >= GOOD_MS:  # not drawn out: which ones are preferred goes round
+            elif (
+                now - peer.good_ms >= PROMPT_ANSWER_VALIDITY_MS
+            ):  # not drawn out: which ones are preferred goes round
                 peer.good_ms = now
         if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED):
             peer.heard_ms = now
@@ -593,14 +684,14 @@
             # A reset may be the connection's own end; a process that died refuses the next one, too.
             if event.status is not CallStatus.REJECTED:
                 peer.errors = 0 if event.status is CallStatus.OK else peer.errors + 1
-            if peer.errors >= ERRORS:
+            if peer.errors >= SUSPECT_ERROR_COUNT:
                 self.doubt(peer, now)
             elif event.status in (CallStatus.OK, CallStatus.ERROR):
                 self.clear(peer, now)
         # Silence while it had work is the sign of a vanished server, a refused connection of a lost one.
         silent = event.status is CallStatus.TIMEOUT and peer.heard_ms < now - event.elapsed_ms
         if event.status is CallStatus.REJECTED:
-            peer.avoid_ms = now + FULL_MS * self.patience * self._jitter()
+            peer.avoid_ms = now + REJECTION_AVOIDANCE_MS * self.patience * self._jitter()
             if peer.suspect:  # it lives, but what it holds already is too much
                 self.doubt(peer, now)
         elif silent or event.status is CallStatus.CONNECT_FAILED:
@@ -615,19 +706,19 @@
             return
         seen = dict(zip(self.settings.report_fields, values, strict=False))
         held = seen.get("inflight", seen.get("queue", 0.0))
-        peer.load = held + BUSY_WEIGHT * min(1.0, seen.get("util", 0.0)) ** 2
+        peer.load = held + FULL_UTILIZATION_LOAD_REQUESTS * min(1.0, seen.get("util", 0.0)) ** 2
         peer.load_ms = now
-        self.usual += USUAL_PART * (peer.load - self.usual)
+        self.usual += MEAN_LOAD_SMOOTHING_FACTOR * (peer.load - self.usual)
 
     def _jitter(self) -> float:
-        return 1.0 + JITTER * self.rng.random()
+        return 1.0 + MAX_JITTER_FRACTION * self.rng.random()
 
     def clear(self, peer: Peer, now: float) -> None:
         """It answers; so its zone may be back, and the zone's other suspects get their trials soon."""
         if peer.suspect:
             for other in self.suspects.values():
                 if other.entry.zone == peer.entry.zone:
-                    other.retest_ms = min(other.retest_ms, now + RETEST_MS * self.rng.random() * 2.0)
+                    other.retest_ms = min(other.retest_ms, now + TRIAL_BACKOFF_MS * self.rng.random() * 2.0)
         peer.suspect, peer.backoff = False, 0
         self.suspects.pop(peer.entry.id, None)
 
@@ -639,15 +730,18 @@
         """
         peer.suspect = True
         self.suspects[peer.entry.id] = peer
-        growth, most = RETEST_GROWTH * math.sqrt(self.patience), RETEST_MOST * self.patience
+        growth, most = (
+            TRIAL_BACKOFF_GROWTH_FACTOR * math.sqrt(self.patience),
+            TRIAL_BACKOFF_MAX_FACTOR * self.patience,
+        )
         times = min(most, growth**peer.backoff)
-        peer.retest_ms = now + RETEST_MS * times * self._jitter()
+        peer.retest_ms = now + TRIAL_BACKOFF_MS * times * self._jitter()
         if times < most:  # beyond, the power would leave the range of floats
             peer.backoff += 1
 
     def all_slow(self) -> bool:
         """Whether most are suspect: a jam, whose time-outs are latencies. It hurts if most truly vanished."""
-        return len(self.suspects) > FEW * len(self.ready)
+        return len(self.suspects) > OVERLOAD_SUSPECT_FRACTION * len(self.ready)
 
 
 # --- Request life cycle -------------------------------------------------------------------------
@@ -672,7 +766,7 @@
 def split_lanes(classes: tuple[api.RequestClass, ...]) -> list[int]:
     """Lane 0 holds the tight aims; aims that hardly differ share it, as squeezing equals loses more."""
     tightest = min((c.aim_ms for c in classes), default=0.0)
-    return [0 if c.aim_ms <= TIGHT * tightest else 1 for c in classes]
+    return [0 if c.aim_ms <= SAME_LANE_AIM_FACTOR * tightest else 1 for c in classes]
 
 
 class Gateway:
@@ -689,7 +783,7 @@
         self.caps: tuple[float, float] = (INF, INF)
         self.count = [0, 0]
         self.running: list[tuple[float, int]] = []  # lanes' given-up work: until when it holds its slot
-        self.window = latency.ObservationWindow(WINDOW_MS, OLDEST_MS, FEWEST)
+        self.window = latency.ObservationWindow(LOAD_WINDOW_MS, MAX_OBSERVATION_AGE_MS, MIN_OBSERVATION_COUNT)
         self.chances = [latency.AnswerTimeDistribution() for _ in settings.classes]
         self.low = [INF, INF, INF]  # light-load latency of lane one, lane two and both
         self.arrivals: deque[tuple[float, int, float]] = deque()
@@ -701,7 +795,7 @@
         self.strays = False  # some answers get lost though hardly one is late
         self.born, self.tidied = INF, 0.0
         self.dearest = max((c.worth for c in settings.classes), default=0.0) or 1.0
-        self.waits: list[deque[float]] = [deque(maxlen=WAITS) for _ in settings.classes]
+        self.waits: list[deque[float]] = [deque(maxlen=CLIENT_WAIT_SAMPLE_COUNT) for _ in settings.classes]
         self.actions: list[api.Action] = []
         self.acts: dict[type, Callable[[float, Any], None]] = {
             api.RequestArrived: self._arrive,
@@ -716,13 +810,13 @@
         self.actions = []
         while self.running and self.running[0][0] <= now:
             self.count[heapq.heappop(self.running)[1]] -= 1
-        gone = 1.0 - math.exp((self.out_ms - now) / WINDOW_MS)
+        gone = 1.0 - math.exp((self.out_ms - now) / LOAD_WINDOW_MS)
         self.mean_out = [m + gone * (n - m) for m, n in zip(self.mean_out, self.count, strict=True)]
         self.out_ms = now
-        if now - self.rerun_ms >= RERUN_MS:
+        if now - self.rerun_ms >= THRESHOLD_UPDATE_INTERVAL_MS:
             self.rerun_ms = now
             self._rerun(now)
-        if now - self.tidied >= TIDY_MS:
+        if now - self.tidied >= CUSTOMER_EXPIRY_INTERVAL_MS:
             self.tidied = now
             self._tidy(now)
         if act := self.acts.get(type(event)):
@@ -732,11 +826,11 @@
     def _tidy(self, now: float) -> None:
         """Forget customers that have been idle for longest, and what the flow no longer counts."""
         self.fleet.trim(now)
-        over = len(self.customers) - MOST_CUSTOMERS
+        over = len(self.customers) - MAX_CUSTOMER_COUNT
         gone: list[int] = []
         for ident, customer in self.customers.items():  # the longest idle first
             pressed = len(gone) < over
-            if not pressed and now - customer.asked_at < LIGHT_MS:
+            if not pressed and now - customer.asked_at < LIGHT_CUSTOMER_EXPIRY_MS:
                 break
             if customer.forgettable(now, pressed):
                 gone.append(ident)
@@ -760,7 +854,7 @@
             )
         self.customers[event.customer_id] = customer  # behind all others: the latest to ask
         # Where a late answer earns little, an attempt past the aim is waste and feeds a jam.
-        in_time = cls.late_worth <= LITTLE_WORTH and cls.aim_stretch <= 0 and not cls.stream
+        in_time = cls.late_worth <= LOW_LATE_WORTH and cls.aim_stretch <= 0 and not cls.stream
         end = min(event.deadline_ms, now + cls.aim_ms) if in_time else event.deadline_ms
         request = Request(event, cls, self.lanes[event.class_index], end, customer)
         self.requests[event.request_id] = request
@@ -797,7 +891,7 @@
             return INF
         steady = 1.0 / math.sqrt(self.fleet.patience)
         part = 1.0 if mean < cap else steady
-        return cap + POOLING * math.sqrt(cap) * part - self.count[lane]
+        return cap + CAP_MARGIN_STDDEVS * math.sqrt(cap) * part - self.count[lane]
 
     def _late(self, now: float, event: api.RequestArrived) -> bool:
         """Whether this is a repeat that can hardly be answered within the aim, counted from the first try.
@@ -814,13 +908,16 @@
         )
         waits.append(wait)
         left = cls.aim_ms - (cls.deadline_ms - wait)
-        if left >= min(self.fleet.mean_ms, LATEST * cls.aim_ms) or len(waits) < FEWEST:
+        if (
+            left >= min(self.fleet.mean_ms, LATE_RETRY_TIME_LEFT_AIM_FRACTION * cls.aim_ms)
+            or len(waits) < MIN_OBSERVATION_COUNT
+        ):
             return False
         # First tries wait alike, repeats for what is left of their time; last ones may wait for longer.
-        groups = Counter(round(each / WAIT_STEP_MS) for each in waits)
-        least = COMMON * max(groups.values())
+        groups = Counter(round(each / CLIENT_WAIT_BIN_MS) for each in waits)
+        least = FIRST_ATTEMPT_BIN_MIN_FRACTION * max(groups.values())
         first = min(group for group, size in groups.items() if size >= least)
-        return wait < (first - 1) * WAIT_STEP_MS
+        return wait < (first - 1) * CLIENT_WAIT_BIN_MS
 
     def _may_repeat(self, request: Request, peer: Peer, now: float) -> bool:
         """The repeats rule, passed by every send."""
@@ -863,7 +960,13 @@
         if first:
             request.customer.draw(now, event.units)
         until = request.end_ms
-        part = EARLY if self.lossy else LATE if self.strays and first else 1.0
+        part = (
+            HEAVY_LOSS_ATTEMPT_TIME_FRACTION
+            if self.lossy
+            else LIGHT_LOSS_ATTEMPT_TIME_FRACTION
+            if self.strays and first
+            else 1.0
+        )
         if (
             request.cls.effect is not RetrySafety.AT_MOST_ONCE
             and attempt.number + 1 < self.settings.max_attempts
@@ -929,7 +1032,7 @@
         request.customer.out -= 1
         if event.status is CallStatus.TIMEOUT and not was_suspect and not self.lossy:
             # Given up, not ended: the server works on it or still will, after a short wait for the longer.
-            rest = max((GIVEN_UP - 1.0) * event.elapsed_ms, self.fleet.mean_ms)
+            rest = max((TIMED_OUT_WORK_FACTOR - 1.0) * event.elapsed_ms, self.fleet.mean_ms)
             heapq.heappush(self.running, (now + rest, request.lane))
         else:
             self.count[request.lane] -= 1
@@ -963,7 +1066,9 @@
         """The 10th-percentile latency, remembered through a jam, where it waits too and load reads low.
         It hurts, for some seconds, where requests truly become heavier."""
         if rows:
-            self.low[which] = min(latency.weighted_p10_ms(rows), self.low[which] * LOW_RISE)
+            self.low[which] = min(
+                latency.weighted_p10_ms(rows), self.low[which] * LIGHT_LATENCY_MAX_GROWTH_FACTOR
+            )
         return self.low[which] if self.low[which] < INF else 0.0
 
     def _awaited(self, now: float) -> list[latency.LatencyObservation]:
@@ -980,7 +1085,9 @@
         """Estimate the load from the window and set the lane caps by the search."""
         self.window.trim(now)
         queue, lanes = self.arrivals, self.lanes
-        while queue and queue[0][0] < now - (WINDOW_MS if len(queue) > FEWEST else OLDEST_MS):
+        while queue and queue[0][0] < now - (
+            LOAD_WINDOW_MS if len(queue) > MIN_OBSERVATION_COUNT else MAX_OBSERVATION_AGE_MS
+        ):
             queue.popleft()
         aim = min(c.aim_ms for c, lane in zip(self.settings.classes, lanes, strict=True) if lane == 0)
         # Lost answers are told from a jam by the others, which come quickly: no load, worth another try.
@@ -988,15 +1095,19 @@
         # was given up before most answers come says nothing of either.
         given_up = self.window.censored_observations()
         quick = sorted(ended.elapsed_ms for ended in self.window.answered_observations())
-        most = quick[int(len(quick) * MOST)] if quick else 0.0
+        most = quick[int(len(quick) * ANSWER_LOSS_MIN_WAIT_QUANTILE)] if quick else 0.0
         lost = sum(1 for ended in given_up if ended.elapsed_ms >= most)
-        heavy = lost > LOSS * (lost + len(quick))
-        calm = self.declined < now - WINDOW_MS  # who turns requests away has a jam
-        swift = len(quick) > 3 and quick[len(quick) * 3 // 4] < QUICK * aim
+        heavy = lost > HEAVY_LOSS_MIN_ATTEMPT_FRACTION * (lost + len(quick))
+        calm = self.declined < now - LOAD_WINDOW_MS  # who turns requests away has a jam
+        swift = len(quick) > 3 and quick[len(quick) * 3 // 4] < FAST_ANSWER_AIM_FRACTION * aim
         before, self.lossy = self.lossy, calm and heavy and swift
-        late = sum(1 for elapsed in quick if elapsed > LATE * aim)
-        enough = lost >= max(2.0, STRAY * len(quick))
-        self.strays = len(quick) > FEWEST and enough and late <= TAIL * len(quick)
+        late = sum(1 for elapsed in quick if elapsed > LIGHT_LOSS_ATTEMPT_TIME_FRACTION * aim)
+        enough = lost >= max(2.0, LIGHT_LOSS_MIN_TIMEOUT_RATIO * len(quick))
+        self.strays = (
+            len(quick) > MIN_OBSERVATION_COUNT
+            and enough
+            and late <= LIGHT_LOSS_MAX_LATE_FRACTION * len(quick)
+        )
         if self.lossy and not before:
             self.actions.append(api.Log(f"answers get lost: {lost} beside {len(quick)}"))
         ended = self.window.answered_observations() if self.lossy else list(self.window.observations)
@@ -1005,14 +1116,14 @@
         of_class: list[list[tuple[float, bool]]] = [[] for _ in self.chances]
         for one in told:
             of_lane[lanes[one.class_index]].append((one.elapsed_ms, one.answered))
-            if one.ended_ms >= now - WINDOW_MS:
+            if one.ended_ms >= now - LOAD_WINDOW_MS:
                 of_class[one.class_index].append((one.elapsed_ms, one.answered))
         self.chances = [latency.AnswerTimeDistribution(ends) for ends in of_class]
         rows = [latency.kaplan_meier_weights(ends) for ends in of_lane]
         every = sorted(rows[0] + rows[1])
         if every:
             self.fleet.mean_ms = max(1.0, latency.weighted_mean_ms(every))
-        if len(ended) < FEWEST or not rows[0]:
+        if len(ended) < MIN_OBSERVATION_COUNT or not rows[0]:
             return
         low = [self._light(which, lane) for which, lane in enumerate(rows)]
         load = 1.0 - self._light(2, every) / self.fleet.mean_ms
@@ -1021,14 +1132,17 @@
         if load <= 0 or sum(weight) <= 0 or low[0] <= 0:
             return
         rho = [load * part / sum(weight) for part in weight]
-        tries = (thresholds(rho[0], rho[1], AIM_PART * aim / low[0], floor) for floor in FLOORS)
+        tries = (
+            thresholds(rho[0], rho[1], MEAN_LATENCY_BOUND_AIM_FRACTION * aim / low[0], floor)
+            for floor in LANE_TWO_FLOOR_FRACTIONS
+        )
         found = next((pair for pair in tries if pair is not None), None)
         if found is None:
             return
         # Counted from nothing the mean would be low for seconds, and the caps with it.
-        counted = 1.0 - math.exp((self.begun - now) / WINDOW_MS)
+        counted = 1.0 - math.exp((self.begun - now) / LOAD_WINDOW_MS)
         scale = max(1e-3, sum(self.mean_out) / counted * (1.0 - load) / load)
-        caps = (max(LEAST_CAP, found[0] * scale), max(LEAST_CAP, found[1] * scale))
+        caps = (max(MIN_LANE_CAP_REQUESTS, found[0] * scale), max(MIN_LANE_CAP_REQUESTS, found[1] * scale))
         if (min(caps) < INF) != (min(self.caps) < INF):
             self.actions.append(api.Log(f"lane caps {caps[0]:.1f} {caps[1]:.1f} at load {load:.2f}"))
         self.caps = caps
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -131,7 +131,7 @@
 
 def test_a_flood_of_customers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
     """The longest idle go early, but none before its ceiling is full again: it would be passed."""
-    monkeypatch.setattr(policy, "MOST_CUSTOMERS", 50)
+    monkeypatch.setattr(policy, "MAX_CUSTOMER_COUNT", 50)
     slow = api.Plan(rate=1000, burst=2000, ceiling_rate=0.5, ceiling_depth=100.0)
     rig = Rig(plans=(slow,))
     now = 300_000.0
@@ -170,7 +170,7 @@
     """Soon where the quota has room; beyond it once the store holds the units, within the bound."""
     rig = Rig([], plans=(api.Plan(rate=5, burst=1),), max_retry_after_ms=500)
     [refused] = rig.arrive(1.0, customer=1)
-    assert isinstance(refused, api.Refuse) and refused.retry_after_ms == policy.REFERENCE_MS
+    assert isinstance(refused, api.Refuse) and refused.retry_after_ms == policy.INITIAL_MEAN_LATENCY_MS
     beyond = rig.gateway.customers[1]
     beyond.usage, beyond.store.level = 300, -0.5
     [refused] = rig.arrive(1.0, customer=1)
@@ -191,10 +191,10 @@
 
 def test_few_doors_weigh_own_tries_as_before() -> None:
     two, seven = (Customer(PLAN, doors, 0.0) for doors in (2, 7))
-    guess = policy.STORE_UNITS
+    guess = policy.OTHERS_PRIOR_MIN_WEIGHT_UNITS
     for customer in (two, seven):
         part, rate = customer.part(), PLAN.rate / 1000.0
-        weight = guess / (policy.STORE_USE * rate) + part * PLAN.burst / rate
+        weight = guess / (policy.OTHERS_PRIOR_USE_RATE_FRACTION * rate) + part * PLAN.burst / rate
         assert customer.unseen()[1] == pytest.approx((1.0 - part) * guess / weight)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -261,7 +261,7 @@
 def test_where_hardly_a_server_is_warm_the_cold_rule_bounds_what_cold_ones_earn() -> None:
     rig = Rig([server(n, started=100.0 if n > 1 else 0.0) for n in range(1, 41)])
     sent = [s.server_id for n in range(400) for s in sends(rig.arrive(100.0 + 10.0 * n))]
-    flow, bound = len(sent) / 40, policy.COLD_MOST * BASE.tip_multiple
+    flow, bound = len(sent) / 40, policy.COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * BASE.tip_multiple
     warmth = rig.gateway.fleet.warmth(rig.gateway.fleet.peers[40], 4100.0)
     first = 39 * 0.5  # each one's first is due at random
     assert sum(number > 1 for number in sent) - first < 39 * flow * bound * warmth
@@ -378,7 +378,7 @@
         for peer in fleet.ready:
             fleet.doubt(peer, 0.0)
     fleet.clear(fleet.peers[1], 5000.0)
-    soon = {n for n, peer in fleet.peers.items() if peer.retest_ms <= 5000.0 + 2 * policy.RETEST_MS}
+    soon = {n for n, peer in fleet.peers.items() if peer.retest_ms <= 5000.0 + 2 * policy.TRIAL_BACKOFF_MS}
     assert soon >= {3, 5, 7} and not soon & {2, 4, 6, 8}
 
 
@@ -387,8 +387,8 @@
     fleet = Rig([server(1)], gateway_count=200).gateway.fleet
     for _ in range(2000):
         fleet.doubt(fleet.peers[1], 1000.0)
-    most = policy.RETEST_MS * policy.RETEST_MOST * fleet.patience
-    assert most <= fleet.peers[1].retest_ms - 1000.0 <= most * (1 + policy.JITTER)
+    most = policy.TRIAL_BACKOFF_MS * policy.TRIAL_BACKOFF_MAX_FACTOR * fleet.patience
+    assert most <= fleet.peers[1].retest_ms - 1000.0 <= most * (1 + policy.MAX_JITTER_FRACTION)
 
 
 def held(gateways: int) -> tuple[int, float]:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from ironstage.policy import BOUND, j_sums, sole_caller, thresholds
+from ironstage.policy import MAX_SEARCH_THRESHOLD, j_sums, sole_caller, thresholds
 
 TABLE_1 = [(0.80, 32, 5), (0.85, 23, 5), (0.90, 20, 5), (1.00, 18, 5), (1.20, 16, 5), (1.50, 15, 5)]
 
@@ -90,7 +90,7 @@
     sys.settrace(count)
     try:
         for rho in (0.5, 0.99, 1.5, 4.0):
-            thresholds(rho, rho, BOUND * 4.0, 0.5)
+            thresholds(rho, rho, MAX_SEARCH_THRESHOLD * 4.0, 0.5)
     finally:
         sys.settrace(before)
     assert 0 < lines < 400_000
