--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -196,11 +196,11 @@
             async with limiter(host("a", "127.0.0.1:1", born_ms=born), watched=watched) as rig:
                 await watched.watches.get()
                 fleet = rig.limiter._gateway.fleet
-                before = fleet.peers[0]
+                before = fleet.servers[0]
                 for seq in range(2, 50):
                     watched.tell(listing(seq, host("a", "127.0.0.1:1", born_ms=born)))
                 await until(lambda: rig.watch.seq == 49)
-                assert fleet.peers[0] is before
+                assert fleet.servers[0] is before
                 assert 2500 < rig.limiter._now() - before.entry.started_ms < 30_000
 
     run(test())
@@ -282,12 +282,12 @@
                         watched.tell(listing(n + 1, new, left, whole=False))
                     await until(lambda n=n: rig.watch.seq == n + 1)  # type: ignore[misc]
                     assert len(rig.limiter._numbers) == len(rig.limiter._servers._servers) == 1
-                    assert len(fleet.peers) == 2  # and the one with work out
+                    assert len(fleet.servers) == 2  # and the one with work out
                     numbers |= set(rig.limiter._numbers.values())
                 assert len(numbers) == 199
                 await echo(held)
                 assert (await client.answer()).body == b"held"
-                assert len(fleet.peers) == 1
+                assert len(fleet.servers) == 1
 
     run(test())
 
--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -100,12 +100,12 @@
 
 def test_capped_lane_admits_requests_with_long_deadlines_first() -> None:
     rig = rig_with_latency_history([1000.0])
-    rig.gateway.caps = (1.0, 1.0)
+    rig.gateway.lane_caps = (1.0, 1.0)
     admitted = {40.0: 0, 1000.0: 0}
     for n in range(400):
         for wait_ms in admitted:
-            rig.gateway.count = [0, 0]
-            rig.gateway.rerun_ms = now_ms = 2600.0 + n / 100.0
+            rig.gateway.occupied_slots = [0, 0]
+            rig.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
             admitted[wait_ms] += len(sends(rig.arrive(now_ms, SAFE_CLASS_INDEX, deadline=wait_ms)))
     assert admitted[1000.0] >= 380
     assert admitted[40.0] < 100
@@ -113,21 +113,21 @@
 
 def test_uncapped_lane_admits_requests_with_short_deadlines() -> None:
     rig = rig_with_latency_history([1000.0])
-    assert rig.gateway.caps[0] == float("inf")
+    assert rig.gateway.lane_caps[0] == float("inf")
     assert all(sends(rig.arrive(2600.0 + n, SAFE_CLASS_INDEX, deadline=40.0)) for n in range(20))
 
 
 def test_capped_lane_still_admits_a_class_with_only_short_deadlines() -> None:
     """A later request with a long deadline is admitted too: short waits are no evidence about longer ones."""
     rig = rig_with_latency_history([40.0])
-    rig.gateway.caps = (1.0, 1.0)
+    rig.gateway.lane_caps = (1.0, 1.0)
     admitted = 0
     for n in range(400):
-        rig.gateway.count = [0, 0]
-        rig.gateway.rerun_ms = now_ms = 2600.0 + n / 100.0
+        rig.gateway.occupied_slots = [0, 0]
+        rig.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
         admitted += len(sends(rig.arrive(now_ms, SAFE_CLASS_INDEX, deadline=40.0)))
     assert admitted > 0
-    rig.gateway.count = [0, 0]
+    rig.gateway.occupied_slots = [0, 0]
     assert kinds(rig.arrive(2700.0, SAFE_CLASS_INDEX, deadline=1000.0)) == ["Send"]
 
 
@@ -137,21 +137,21 @@
     Half of all gateways took an overload for lost answers.
     """
     rig = rig_with_latency_history([1000.0, 40.0, 60.0])
-    assert len(rig.gateway.window.censored_observations()) > 20
-    assert not rig.gateway.lossy
+    assert len(rig.gateway.latency_window.censored_observations()) > 20
+    assert not rig.gateway.heavy_answer_loss
 
 
 def test_timed_out_attempt_holds_its_slot_for_at_least_the_mean_latency() -> None:
     rig = rig_with_latency_history([1000.0])
-    mean_latency_ms, wait_ms = rig.gateway.fleet.mean_ms, 10.0
+    mean_latency_ms, wait_ms = rig.gateway.fleet.mean_latency_ms, 10.0
     assert mean_latency_ms > 70.0
     (sent,) = sends(rig.arrive(2600.0, SAFE_CLASS_INDEX, deadline=wait_ms))
     rig.done(2600.0 + wait_ms, sent, "timeout", elapsed=wait_ms, closed=True)
-    outstanding = rig.gateway.count[0]
+    outstanding = rig.gateway.occupied_slots[0]
     rig.tick(2600.0 + wait_ms + mean_latency_ms - 1.0)
-    assert rig.gateway.count[0] == outstanding > 0
+    assert rig.gateway.occupied_slots[0] == outstanding > 0
     rig.tick(2600.0 + wait_ms + mean_latency_ms + 1.0)
-    assert rig.gateway.count[0] == outstanding - 1
+    assert rig.gateway.occupied_slots[0] == outstanding - 1
 
 
 def test_timeouts_of_an_overload_expire_together_with_answers_of_that_time() -> None:
@@ -180,17 +180,17 @@
 
 def test_outstanding_attempts_raise_the_mean_latency_before_they_time_out() -> None:
     rig = rig_with_latency_history([1000.0])
-    mean_latency_ms = rig.gateway.fleet.mean_ms
+    mean_latency_ms = rig.gateway.fleet.mean_latency_ms
     for n in range(8):
         assert sends(rig.arrive(2600.0 + n, SAFE_CLASS_INDEX))
     rig.tick(3550.0)
-    assert rig.gateway.fleet.mean_ms > 1.5 * mean_latency_ms
+    assert rig.gateway.fleet.mean_latency_ms > 1.5 * mean_latency_ms
 
 
 def test_single_outstanding_attempt_past_its_deadline_does_not_change_the_mean_latency() -> None:
     rig = rig_with_latency_history([1000.0])
-    mean_latency_ms = rig.gateway.fleet.mean_ms
+    mean_latency_ms = rig.gateway.fleet.mean_latency_ms
     assert sends(rig.arrive(2600.0, SAFE_CLASS_INDEX))
     rig.tick(3601.0)
     rig.tick(4200.0)
-    assert rig.gateway.fleet.mean_ms == pytest.approx(mean_latency_ms, rel=0.1)
+    assert rig.gateway.fleet.mean_latency_ms == pytest.approx(mean_latency_ms, rel=0.1)
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -60,6 +60,8 @@
                         answer = await client.ask(message(ident=f"id-{next(number)}", **key))
                         assert answer.code == 200
                 last = (clock[0] - start - LAG_MS) // 1000.0 * 1000.0
-                assert abs(rig.limiter._gateway.clock.window(clock[0])[1] - start - last) <= 150.0
+                assert (
+                    abs(rig.limiter._gateway.meter_clock.reading_period(clock[0])[1] - start - last) <= 150.0
+                )
 
     run(test())
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -28,17 +28,17 @@
             continue
         both.append(now)
         if rng.random() < 0.5:
-            customer.draw(now, 1.0)
+            customer.record_send(now, 1.0)
             end = (now + 60.0 - lag) // 1000.0 * 1000.0
             used = sum(1 for at in both if end - 1000.0 <= at < end)
-            customer.meter(now + 60.0, round(used / PLAN.rate * 100), clock)
+            customer.apply_reading(now + 60.0, round(used / PLAN.rate * 100), clock)
     return clock, customer
 
 
 @pytest.mark.parametrize("lag", [400.0, 900.0, 1500.0])
 def test_the_clock_finds_the_period_a_reading_speaks_of(lag: float) -> None:
     clock, _ = play(lag)
-    _, end = clock.window(60000.0)
+    _, end = clock.reading_period(60000.0)
     true_end = (60000.0 - lag) // 1000.0 * 1000.0
     assert abs((end - true_end + 500) % 1000 - 500) < 200
     assert abs(end - true_end) < 1200
@@ -46,63 +46,63 @@
 
 def test_our_part_is_learned() -> None:
     _, customer = play(700.0)
-    assert 0.3 < customer.part() < 0.7
+    assert 0.3 < customer.traffic_fraction() < 0.7
 
 
 def test_repeating_a_reading_does_not_wind_the_share_down() -> None:
     clock, customer = MeterClock(1000.0), Customer(PLAN, 1, 0.0)
     for step in range(12):
-        customer.meter(10.0 + step * 20, 200, clock)
-    assert customer.share(250.0) == pytest.approx(0.5, abs=0.05)
+        customer.apply_reading(10.0 + step * 20, 200, clock)
+    assert customer.admission_share(250.0) == pytest.approx(0.5, abs=0.05)
 
 
 def test_no_use_restores_the_share() -> None:
     clock, customer = MeterClock(1000.0), Customer(PLAN, 1, 0.0)
-    customer.meter(10.0, 300, clock)
-    assert customer.share(20.0) < 0.5
+    customer.apply_reading(10.0, 300, clock)
+    assert customer.admission_share(20.0) < 0.5
     for step in range(1, 9):
-        customer.meter(10.0 + 1000.0 * step, 0, clock)
-    assert customer.share(8020.0) == 1.0
+        customer.apply_reading(10.0 + 1000.0 * step, 0, clock)
+    assert customer.admission_share(8020.0) == 1.0
 
 
 def test_old_readings_yield_to_the_guess() -> None:
     """big-1 of cca-main-later: a reading a door heard a minute ago bound a rarely seen customer."""
     clock, customer = MeterClock(1000.0), Customer(PLAN, 300, 0.0)
-    customer.meter(10.0, 500, clock)
-    assert customer.share(1000.0) < 0.4
-    assert customer.share(150000.0) > 0.9
+    customer.apply_reading(10.0, 500, clock)
+    assert customer.admission_share(1000.0) < 0.4
+    assert customer.admission_share(150000.0) > 0.9
 
 
 def test_behind_many_doors_repeated_tries_weigh_and_a_first_one_passes() -> None:
     """big-1 of cca-main-later: with a reading a minute, own tries are what tells a runaway account."""
     customer = Customer(api.Plan(rate=1, burst=4), 300, 0.0)
-    assert customer.lets_in(1000.0, 1.0, 0.9)
-    assert not customer.lets_in(2000.0, 1.0, 0.9)
-    assert customer.share(120000.0) > 0.9
+    assert customer.admits(1000.0, 1.0, 0.9)
+    assert not customer.admits(2000.0, 1.0, 0.9)
+    assert customer.admission_share(120000.0) > 0.9
 
 
 def test_a_plan_without_a_rate_goes_by_its_meter() -> None:
     clock, customer = MeterClock(1000.0), Customer(api.Plan(rate=0, burst=0, parallel=4), 3, 0.0)
-    assert customer.lets_in(5.0, 1.0, 0.99)
-    customer.meter(10.0, 400, clock)
-    assert not customer.lets_in(20.0, 1.0, 0.5)
+    assert customer.admits(5.0, 1.0, 0.99)
+    customer.apply_reading(10.0, 400, clock)
+    assert not customer.admits(20.0, 1.0, 0.5)
 
 
 def test_own_sends_past_the_whole_quota_are_beyond() -> None:
     customer = Customer(PLAN, 1, 0.0)
     passed = 0
     for step in range(200):
-        if customer.lets_in(step * 5.0, 1.0, 0.0):
-            customer.draw(step * 5.0, 1.0)
+        if customer.admits(step * 5.0, 1.0, 0.0):
+            customer.record_send(step * 5.0, 1.0)
             passed += 1
     assert passed <= PLAN.burst * 1.3 + PLAN.rate
 
 
 def test_a_wholly_refused_customer_recovers_without_a_meter() -> None:
     customer = Customer(PLAN, 1, 0.0)
-    customer.store.level = -5.0
-    assert not customer.lets_in(0.0, 1.0, 0.5)
-    assert customer.lets_in(2500.0, 1.0, 0.5)
+    customer.bucket.level = -5.0
+    assert not customer.admits(0.0, 1.0, 0.5)
+    assert customer.admits(2500.0, 1.0, 0.5)
 
 
 def test_idle_customers_are_forgotten() -> None:
@@ -126,7 +126,7 @@
         rig.done(step * 50.0 + 20.0, sent, "ok")
     assert kept and 1_000_000 in rig.gateway.customers
     assert len(rig.gateway.customers) < 1000
-    assert len(rig.gateway.fleet.due) < 200
+    assert len(rig.gateway.fleet.admitted_times_ms) < 200
 
 
 def test_a_flood_of_customers_is_bounded(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -150,9 +150,9 @@
         [sent] = sends(rig.arrive(step * 50.0))
         rig.done(step * 50.0 + 20.0, sent, "ok")
     [customer] = rig.gateway.customers.values()
-    assert 200 <= len(customer.log) <= 450
+    assert 200 <= len(customer.send_history) <= 450
     end = 5000 * 50.0
-    assert customer.drawn(end)[0] - customer.drawn(end - 5025.0)[0] == 100.0
+    assert customer.units_sent_until(end)[0] - customer.units_sent_until(end - 5025.0)[0] == 100.0
 
 
 def test_a_ceiling_fills_from_the_start_of_the_gateway() -> None:
@@ -172,10 +172,10 @@
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == policy.INITIAL_MEAN_LATENCY_MS
     beyond = rig.gateway.customers[1]
-    beyond.usage, beyond.store.level = 300, -0.5
+    beyond.usage_percent, beyond.bucket.level = 300, -0.5
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == pytest.approx(300.0)
-    beyond.store.level = -9.0
+    beyond.bucket.level = -9.0
     [refused] = rig.arrive(1.0, customer=1)
     assert isinstance(refused, api.Refuse) and refused.retry_after_ms == 500.0
 
@@ -184,18 +184,18 @@
     """Its own burst would cover both; what others draw is foretold from one of forty doors."""
     customer = Customer(api.Plan(rate=10, burst=20), 40, 0.0)
     for now in (1000.0, 2000.0, 3000.0):
-        assert customer.lets_in(now, 2.0, 0.0)
-        customer.draw(now, 2.0)
-    assert customer.store.level > 0.0
+        assert customer.admits(now, 2.0, 0.0)
+        customer.record_send(now, 2.0)
+    assert customer.bucket.level > 0.0
 
 
 def test_few_doors_weigh_own_tries_as_before() -> None:
     two, seven = (Customer(PLAN, doors, 0.0) for doors in (2, 7))
     guess = policy.OTHERS_PRIOR_MIN_WEIGHT_UNITS
     for customer in (two, seven):
-        part, rate = customer.part(), PLAN.rate / 1000.0
+        part, rate = customer.traffic_fraction(), PLAN.rate / 1000.0
         weight = guess / (policy.OTHERS_PRIOR_USE_RATE_FRACTION * rate) + part * PLAN.burst / rate
-        assert customer.unseen()[1] == pytest.approx((1.0 - part) * guess / weight)
+        assert customer.predicted_others_use()[1] == pytest.approx((1.0 - part) * guess / weight)
 
 
 def test_beyond_the_quota_cheap_tries_leave_the_store_to_dear_ones() -> None:
@@ -204,15 +204,15 @@
     clock = MeterClock(1000.0)
     for customer in (cheap, dear):
         for second in range(1, 6):
-            customer.meter(second * 1000.0, 200, clock)
-        customer.store.level, customer.store.at = PLAN.burst, 5000.0
-        assert customer.share(5000.0) < 0.6
-    assert not cheap.lets_in(5000.0, 1.0, 0.0, 1 / 3)
-    assert dear.lets_in(5000.0, 1.0, 0.0, 1.0)
+            customer.apply_reading(second * 1000.0, 200, clock)
+        customer.bucket.level, customer.bucket.refilled_ms = PLAN.burst, 5000.0
+        assert customer.admission_share(5000.0) < 0.6
+    assert not cheap.admits(5000.0, 1.0, 0.0, 1 / 3)
+    assert dear.admits(5000.0, 1.0, 0.0, 1.0)
 
 
 def test_with_few_doors_less_of_the_store_is_kept_from_cheap_tries() -> None:
     """rude+garble+fleet: customers of two doors had cheap tries refused with most of their quota unused."""
     few, many = (Customer(PLAN, doors, 0.0) for doors in (2, 40))
-    assert few._kept(0.75, 0.5) < 0.35 * PLAN.burst
-    assert many._kept(0.75, 0.5) > 0.7 * PLAN.burst
+    assert few._reserved_units(0.75, 0.5) < 0.35 * PLAN.burst
+    assert many._reserved_units(0.75, 0.5) > 0.7 * PLAN.burst
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -155,8 +155,8 @@
     rig = Rig()
     for sent in [sends(rig.arrive(1.0 + n))[0] for n in range(30)]:
         rig.done(1100.0, sent, "timeout", elapsed=1000.0)
-    assert rig.gateway.fleet.all_slow()
-    assert rig.gateway.window.censored_observations()
+    assert rig.gateway.fleet.mostly_suspect()
+    assert rig.gateway.latency_window.censored_observations()
 
 
 def test_a_jam_brings_lane_caps_though_every_latency_is_long() -> None:
@@ -166,13 +166,13 @@
         now = 10.0 * step + 1
         elapsed = 60.0 + 60.0 * (step % 4) if step < 200 else 900.0
         for sent in sends(rig.arrive(now)):
-            rig.gateway.count[0] += 1  # as if it stayed out for its latency
+            rig.gateway.occupied_slots[0] += 1  # as if it stayed out for its latency
             rig.done(now + 1, sent, "ok", elapsed=elapsed)
-            rig.gateway.count[0] -= 1
+            rig.gateway.occupied_slots[0] -= 1
         if step % 5 == 0:
-            rig.gateway.mean_out = [9.0, 0.0]
+            rig.gateway.mean_occupied_slots = [9.0, 0.0]
             rig.tick(now)
-    assert rig.gateway.caps[0] < float("inf")
+    assert rig.gateway.lane_caps[0] < float("inf")
 
 
 def test_a_silent_server_is_left_alone_and_tried_again_now_and_then() -> None:
@@ -254,7 +254,7 @@
                     cold + (now > 4000 and sent.server_id > 20),
                     warm + (now > 4000 and sent.server_id <= 20),
                 )
-    part = rig.gateway.fleet.warmth(rig.gateway.fleet.peers[40], 6500.0)
+    part = rig.gateway.fleet.warm_fraction(rig.gateway.fleet.servers[40], 6500.0)
     assert 0.9 * part < cold / warm < 1.4 * part
 
 
@@ -262,7 +262,7 @@
     rig = Rig([server(n, started=100.0 if n > 1 else 0.0) for n in range(1, 41)])
     sent = [s.server_id for n in range(400) for s in sends(rig.arrive(100.0 + 10.0 * n))]
     flow, bound = len(sent) / 40, policy.COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * BASE.tip_multiple
-    warmth = rig.gateway.fleet.warmth(rig.gateway.fleet.peers[40], 4100.0)
+    warmth = rig.gateway.fleet.warm_fraction(rig.gateway.fleet.servers[40], 4100.0)
     first = 39 * 0.5  # each one's first is due at random
     assert sum(number > 1 for number in sent) - first < 39 * flow * bound * warmth
 
@@ -291,11 +291,11 @@
     rig = Rig([server(n) for n in range(1, 4)], report_fields=("inflight",), gateway_count=300)
     fleet = rig.gateway.fleet
     for now in range(1, 40):
-        fleet.report(float(now), 1, (9.0,))
-        fleet.report(float(now), 2, (2.0,))
-    idle, busy, unheard = (fleet.cost(fleet.peers[n], 50.0) for n in (2, 1, 3))
+        fleet.record_load_report(float(now), 1, (9.0,))
+        fleet.record_load_report(float(now), 2, (2.0,))
+    idle, busy, unheard = (fleet.selection_cost(fleet.servers[n], 50.0) for n in (2, 1, 3))
     assert idle < unheard < busy
-    assert fleet.cost(fleet.peers[1], 60000.0) == fleet.cost(fleet.peers[3], 60000.0)
+    assert fleet.selection_cost(fleet.servers[1], 60000.0) == fleet.selection_cost(fleet.servers[3], 60000.0)
 
 
 def test_a_server_that_fails_at_once_draws_no_traffic() -> None:
@@ -364,21 +364,23 @@
 def test_a_suspect_that_is_full_stays_suspect() -> None:
     rig = Rig([server(1), server(2)])
     fleet = rig.gateway.fleet
-    fleet.doubt(fleet.peers[1], 0.0)
-    before = fleet.peers[1].retest_ms
+    fleet.mark_suspect(fleet.servers[1], 0.0)
+    before = fleet.servers[1].next_trial_ms
     sent = next(s for now in range(1500, 1700, 10) for s in sends(rig.arrive(float(now))) if s.server_id == 1)
     rig.done(1800.0, sent, "rejected")
-    assert fleet.peers[1].suspect and fleet.peers[1].retest_ms > before
+    assert fleet.servers[1].suspect and fleet.servers[1].next_trial_ms > before
 
 
 def test_an_answer_from_a_zone_brings_its_other_suspects_their_trials() -> None:
     rig = Rig([server(n, zone=n % 2) for n in range(1, 9)], gateway_count=40)
     fleet = rig.gateway.fleet
     for _ in range(4):
-        for peer in fleet.ready:
-            fleet.doubt(peer, 0.0)
-    fleet.clear(fleet.peers[1], 5000.0)
-    soon = {n for n, peer in fleet.peers.items() if peer.retest_ms <= 5000.0 + 2 * policy.TRIAL_BACKOFF_MS}
+        for peer in fleet.ready_servers:
+            fleet.mark_suspect(peer, 0.0)
+    fleet.clear_suspicion(fleet.servers[1], 5000.0)
+    soon = {
+        n for n, peer in fleet.servers.items() if peer.next_trial_ms <= 5000.0 + 2 * policy.TRIAL_BACKOFF_MS
+    }
     assert soon >= {3, 5, 7} and not soon & {2, 4, 6, 8}
 
 
@@ -386,21 +388,21 @@
     """join+mass: 14**271 is no float; the request under way failed and never gave back its slot."""
     fleet = Rig([server(1)], gateway_count=200).gateway.fleet
     for _ in range(2000):
-        fleet.doubt(fleet.peers[1], 1000.0)
-    most = policy.TRIAL_BACKOFF_MS * policy.TRIAL_BACKOFF_MAX_FACTOR * fleet.patience
-    assert most <= fleet.peers[1].retest_ms - 1000.0 <= most * (1 + policy.MAX_JITTER_FRACTION)
+        fleet.mark_suspect(fleet.servers[1], 1000.0)
+    most = policy.TRIAL_BACKOFF_MS * policy.TRIAL_BACKOFF_MAX_FACTOR * fleet.gateway_count_factor
+    assert most <= fleet.servers[1].next_trial_ms - 1000.0 <= most * (1 + policy.MAX_JITTER_FRACTION)
 
 
 def held(gateways: int) -> tuple[int, float]:
     """The most, and the late mean, that a lane holds at threshold 1 when it is asked for three at a time."""
     rig, out, counts = Rig(gateway_count=gateways), [], []
-    rig.gateway.rerun_ms = policy.INF  # the thresholds stay
-    rig.gateway.caps = (1.0, policy.INF)
+    rig.gateway.thresholds_updated_ms = policy.INF  # the thresholds stay
+    rig.gateway.lane_caps = (1.0, policy.INF)
     for now in range(100, 60_000, 100):
         while out and out[0][0] <= now:
             rig.done(float(now), out.pop(0)[1], "ok", elapsed=300.0)
         out += [(now + 300.0, sent) for sent in sends(rig.arrive(float(now)))]
-        counts.append(rig.gateway.count[0])
+        counts.append(rig.gateway.occupied_slots[0])
     return max(counts[:10]), sum(counts[200:]) / len(counts[200:])
 
 
@@ -432,32 +434,32 @@
     [sent] = sends(rig.arrive(0.0))
     rig.done(1000.0, sent, "timeout", elapsed=1000.0, closed=True)
     rig.tick(1999.0)
-    assert rig.gateway.count[0] == 1
+    assert rig.gateway.occupied_slots[0] == 1
     rig.tick(2000.0)
-    assert rig.gateway.count[0] == 0
+    assert rig.gateway.occupied_slots[0] == 0
     [sent] = sends(rig.arrive(2100.0))
     rig.done(2200.0, sent, "ok", elapsed=100.0)
-    assert rig.gateway.count[0] == 0
+    assert rig.gateway.occupied_slots[0] == 0
 
 
 def test_servers_that_turn_requests_away_are_jammed_and_lose_no_answers() -> None:
     """join+mass: a third of the limiters took time-outs for lost answers and lifted their caps."""
     rig = lossy_rig(20.0)
     gateway = rig.gateway
-    assert gateway.lossy
+    assert gateway.heavy_answer_loss
     [sent] = sends(rig.arrive(8010.0))
     rig.done(8011.0, sent, "rejected", elapsed=1.0)
     rig.tick(8600.0)
-    assert not gateway.lossy
+    assert not gateway.heavy_answer_loss
 
 
 def test_a_swing_passes_whole_while_the_lanes_mean_is_below_its_threshold() -> None:
     """calm+mass: with a root that shrank on the way there, caps refused on a day without a fault."""
     gateway = Rig(gateway_count=200).gateway
-    gateway.caps, gateway.count = (4.0, 4.0), [6, 6]
-    gateway.mean_out = [3.0, 4.5]
-    assert gateway._room(0) == pytest.approx(1.0)
-    assert gateway._room(1) < 0.0
+    gateway.lane_caps, gateway.occupied_slots = (4.0, 4.0), [6, 6]
+    gateway.mean_occupied_slots = [3.0, 4.5]
+    assert gateway._lane_headroom(0) == pytest.approx(1.0)
+    assert gateway._lane_headroom(1) < 0.0
 
 
 def choices(gap: float, servers: int = 40) -> list[int]:
--- a/tests/test_search.py
+++ b/tests/test_search.py
@@ -10,14 +10,14 @@
 
 import pytest
 
-from ironstage.policy import MAX_SEARCH_THRESHOLD, j_sums, sole_caller, thresholds
+from ironstage.policy import MAX_SEARCH_THRESHOLD, j_sums, measures_at_m1_one, optimal_thresholds
 
 TABLE_1 = [(0.80, 32, 5), (0.85, 23, 5), (0.90, 20, 5), (1.00, 18, 5), (1.20, 16, 5), (1.50, 15, 5)]
 
 
 @pytest.mark.parametrize(("lambda1", "m1", "m2"), TABLE_1)
 def test_table_1(lambda1: float, m1: int, m2: int) -> None:
-    assert thresholds(lambda1, 0.3, 20.0, 0.2 / 0.3) == (m1, m2)
+    assert optimal_thresholds(lambda1, 0.3, 20.0, 0.2 / 0.3) == (m1, m2)
 
 
 def measures(rho1: float, rho2: float, m1: int, m2: int) -> tuple[float, float, float]:
@@ -35,7 +35,7 @@
 @pytest.mark.parametrize("sojourn", [2.0, 4.0])
 @pytest.mark.parametrize("floor", [0.3, 0.6, 0.9])
 def test_brute_force(rho1: float, rho2: float, sojourn: float, floor: float) -> None:
-    found = thresholds(rho1, rho2, sojourn, floor)
+    found = optimal_thresholds(rho1, rho2, sojourn, floor)
     top = 0.0
     for m1 in range(1, 22):
         for m2 in range(22):
@@ -52,13 +52,13 @@
 
 
 def test_light_load_has_no_cap() -> None:
-    assert thresholds(0.2, 0.2, 2.0, 0.9) == (math.inf, math.inf)
+    assert optimal_thresholds(0.2, 0.2, 2.0, 0.9) == (math.inf, math.inf)
 
 
 def test_whole_floor_leaves_lane_two_free_or_is_infeasible() -> None:
-    found = thresholds(0.8, 0.3, 4.0, 1.0)
+    found = optimal_thresholds(0.8, 0.3, 4.0, 1.0)
     assert found is not None and found[1] == math.inf and found[0] < math.inf
-    assert thresholds(0.8, 1.3, 4.0, 1.0) is None
+    assert optimal_thresholds(0.8, 1.3, 4.0, 1.0) is None
 
 
 def test_infinite_sums_are_limits() -> None:
@@ -74,7 +74,7 @@
 
 def test_sole_caller_agrees_with_product_form() -> None:
     _, wait, second = measures(0.7, 0.4, 1, 3)
-    assert sole_caller(0.7, 0.4, 3) == pytest.approx((wait, second))
+    assert measures_at_m1_one(0.7, 0.4, 3) == pytest.approx((wait, second))
 
 
 def test_cost_is_bounded() -> None:
@@ -90,7 +90,7 @@
     sys.settrace(count)
     try:
         for rho in (0.5, 0.99, 1.5, 4.0):
-            thresholds(rho, rho, MAX_SEARCH_THRESHOLD * 4.0, 0.5)
+            optimal_thresholds(rho, rho, MAX_SEARCH_THRESHOLD * 4.0, 0.5)
     finally:
         sys.settrace(before)
     assert 0 < lines < 400_000
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -496,11 +496,11 @@
                 gateway, sockets = rig.limiter._gateway, rig.limiter._servers
                 await until(lambda: not gateway.requests and not rig.limiter._requests)
                 await until(lambda: not sockets._connecting)
-                slots = Counter(lane for _, lane in gateway.running)  # of work given up
-                assert gateway.count == [slots[0], slots[1]]
+                slots = Counter(lane for _, lane in gateway.timed_out_slots)  # of work given up
+                assert gateway.occupied_slots == [slots[0], slots[1]]
                 assert (rig.limiter.open, rig.limiter._names) == (0, set())
-                assert all(customer.out == 0 for customer in gateway.customers.values())
-                assert [peer.waiting for peer in gateway.fleet.peers.values()] == [0]
+                assert all(customer.outstanding_count == 0 for customer in gateway.customers.values())
+                assert [peer.outstanding_count for peer in gateway.fleet.servers.values()] == [0]
                 sockets.close()
                 await until(lambda: sockets._open == 0)
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -102,12 +102,12 @@
                     for n, each in enumerate(hosts(MOST)):
                         watched.tell(listing(n + 2, each, whole=False))
                 await until(lambda: rig.watch.seq == MOST + 1)
-                assert len(rig.limiter._gateway.fleet.ready) == len(rig.limiter._numbers) == MOST
+                assert len(rig.limiter._gateway.fleet.ready_servers) == len(rig.limiter._numbers) == MOST
                 watched.tell(listing(MOST + 2, host("last", one.address)))
                 await until(lambda: rig.watch.seq == MOST + 2)
                 client = await rig.connect()
                 assert (await client.ask(message("fix", "only"))).code == 200
-                assert len(rig.limiter._servers._servers) == len(rig.limiter._gateway.fleet.peers) == 1
+                assert len(rig.limiter._servers._servers) == len(rig.limiter._gateway.fleet.servers) == 1
 
     run(test())
 
@@ -128,7 +128,7 @@
             rig.listed(1.0, server(n))
     finally:
         sys.settrace(before)
-    assert len(rig.gateway.fleet.ready) == count
+    assert len(rig.gateway.fleet.ready_servers) == count
     return lines
 
 
@@ -168,7 +168,7 @@
                 backend() as one,
                 limiter(*made.known["hosts"], host("one", one.address), settings=GOOD["settings"]) as rig,
             ):
-                assert len(rig.limiter._gateway.fleet.ready) == MOST + 1
+                assert len(rig.limiter._gateway.fleet.ready_servers) == MOST + 1
                 checked = rig.clients.checker._call_terms(terms.encode())
                 assert checked == (1.0, MOST)
 
