--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -1,7 +1,17 @@
-"""Every decision of the gateway; its types, events and actions stand in `ironstage/interface.py`.
-
-Two lanes of request classes are capped at the back end by the thresholds of de Waal's report BS-R9025
-(Section 3); customers are held to quotas by a metered let-in share.
+"""Every decision of the gateway: quotas, lane caps, server health, server choice and retries.
+
+`Gateway.handle` takes an event and returns the actions that follow from it; `ironstage/interface.py` defines
+the settings, events and actions. Points in time (`now_ms` and other fields in `_ms`) are milliseconds on the
+caller's clock, and units are the quota units of a request.
+
+- Quota: a customer's requests are admitted with a probability, the admission share, which follows from its
+  metered use. An estimate of its token bucket admits bursts.
+- Lanes: classes with tight latency aims are in lane one, the others in lane two. The back end's outstanding
+  requests of each lane are capped by the thresholds of de Waal's report BS-R9025 (Section 3).
+- Servers: the server with the least outstanding requests of a random sample is chosen. Servers that fail
+  become suspects, which get only occasional trial requests. Servers that started recently are cold and get
+  less traffic (slow start).
+- Attempts: a request's first attempt at a server may be followed by retries at others.
 """
 
 from __future__ import annotations
@@ -151,7 +161,7 @@
 
 # --- Threshold search (de Waal, Algorithms 3.8 and 3.9) -----------------------------------------
 def j_sums(n: int, x: float, y: float) -> tuple[float, float, float]:
-    """J1, J2, J3 of (15)-(17); their inner sums are binomial and collapse to powers of 1 - x."""
+    """Return J1, J2 and J3 of (15)-(17); their inner sums are binomial and collapse to powers of 1 - x."""
     j1 = j2 = j3 = 0.0
     term = 1.0 / (1.0 - x)
     for j in range(n + 1):
@@ -163,7 +173,7 @@
 
 
 def measures_at_m1_one(rho1: float, rho2: float, m2: int) -> tuple[float, float]:
-    """S1(1, m2) in mean service times and T2(1, m2) as a part of lambda2, by (28)-(31)."""
+    """Return S1(1, m2) in mean service times and T2(1, m2) as a fraction of lambda2, by (28)-(31)."""
     j4 = j5 = previous_sum = 0.0
     for j in range(m2 + 1):
         previous_sum = j4 + j5
@@ -174,7 +184,7 @@
 
 
 def largest_m1_without_m2_cap(rho1: float, rho2: float, max_sojourn: float) -> float:
-    """The largest M1 with S1(M1, inf) within bound; 0 where there is none."""
+    """Return the largest M1 with S1(M1, inf) at most `max_sojourn`, or 0 if there is none."""
     best_m1 = 0.0
     for m1 in range(1, MAX_SEARCH_THRESHOLD + 1 if rho2 < 1 else 1):
         if j_sums(m1, rho2, rho1)[2] > max_sojourn * rho1 * j_sums(m1 - 1, rho2, rho1)[0]:
@@ -190,7 +200,11 @@
     max_sojourn: float,
     min_lane_two_fraction: float,
 ) -> tuple[int, float, bool]:
-    """(M1, T1 part, whether S1 stopped it): the largest feasible M1 for the rows' M2."""
+    """Return the largest feasible M1 for one M2, T1 / lambda1 there, and whether S1 ended the search.
+
+    `weights_by_m1[m1]` is the product-form weight of the states with m1 requests of lane one and at most M2
+    of lane two; `weights_below_m2[m1]` is that of the states with fewer than M2 of lane two.
+    """
     best_m1, throughput_fraction, sojourn_exceeded = 0, 0.0, False
     total_weight, weight_below_m2, weighted_m1_sum = weights_by_m1[0], weights_below_m2[0], 0.0
     for m1 in range(1, len(weights_by_m1)):
@@ -208,9 +222,12 @@
 def optimal_thresholds(
     rho1: float, rho2: float, max_sojourn: float, min_lane_two_fraction: float
 ) -> tuple[float, float] | None:
-    """The optimal (M1, M2), infinite where no cap is due; None where nothing is feasible.
+    """Return the (M1, M2) with the largest throughput of lane one, or None if no pair is feasible.
 
-    `sojourn` is S mu1, `floor` is T / lambda2: the product form knows no other units.
+    A threshold is infinite if its lane needs no cap. `rho1` and `rho2` are the utilizations by the lanes.
+    `max_sojourn` is S mu1, the bound on lane one's mean sojourn time in mean service times, and
+    `min_lane_two_fraction` is T / lambda2, the least throughput of lane two as a fraction of its arrivals:
+    the product form has no other units.
     """
     rho1, rho2 = max(rho1, 1e-9), max(rho2, 1e-9)
     if rho1 + rho2 < 1 and max_sojourn * (1 - rho1 - rho2) >= 1:
@@ -253,7 +270,8 @@
         )
         if m1 and throughput_fraction > best_throughput_fraction:
             best_thresholds, best_throughput_fraction = (m1, m2), throughput_fraction
-        # M1(m2) rises while the floor binds and falls while S1 does; only there it has settled.
+        # With growing m2, M1(m2) rises while the lane-two floor is the binding constraint and falls while S1
+        # is. Only where S1 is can M1(m2) have come down to its limit, so that the search is complete.
         if sojourn_exceeded and m1 <= m1_without_m2_cap:
             break
     return best_thresholds
@@ -262,7 +280,10 @@
 # --- Quota --------------------------------------------------------------------------------------
 @dataclass(slots=True)
 class TokenBucket:
-    """A store that fills at a rate (units a second) up to a depth."""
+    """A token bucket of at most `depth` units that is refilled at `rate` units a second.
+
+    `level` is the number of units at `refilled_ms`.
+    """
 
     rate: float
     depth: float
@@ -270,13 +291,17 @@
     refilled_ms: float
 
     def refill(self, now_ms: float) -> float:
+        """Add the units gained since the last refill and return the level."""
         self.level = min(self.depth, self.level + self.rate * (now_ms - self.refilled_ms) / 1000.0)
         self.refilled_ms = now_ms
         return self.level
 
 
 class MeterClock:
-    """Learns which period a reading speaks of; else sends of another would mend the store."""
+    """Learns which metered period a reading describes.
+
+    A reading compared with the sends of another period would correct the token bucket wrongly.
+    """
 
     def __init__(self, period_ms: float) -> None:
         self.period_ms = period_ms
@@ -287,28 +312,30 @@
         self.phase_sine = self.phase_cosine = 0.0
 
     def record_change(self, previous_reading_ms: float, now_ms: float) -> None:
-        """A customer's reading changed between two answers: the meter moved on in between."""
+        """Learn from a reading that changed between two answers: the meter published in between."""
         if now_ms - previous_reading_ms < self.period_ms / 4:
             angle = math.tau * ((previous_reading_ms + now_ms) / 2 % self.period_ms) / self.period_ms
             self.phase_sine = METER_PHASE_RETENTION_FACTOR * self.phase_sine + math.sin(angle)
             self.phase_cosine = METER_PHASE_RETENTION_FACTOR * self.phase_cosine + math.cos(angle)
 
     def last_change_ms(self, now_ms: float) -> float:
-        """When the present readings came out."""
+        """Return when the meter published the present readings."""
         phase_ms = math.atan2(self.phase_sine, self.phase_cosine) / math.tau * self.period_ms
         return now_ms - (now_ms - phase_ms) % self.period_ms
 
     def reading_period(self, now_ms: float) -> tuple[float, float]:
-        """Start and end of the period that a reading heard now speaks of."""
+        """Return start and end of the metered period that a reading received now describes."""
         best_lag_steps = min(range(METER_LAG_STEP_COUNT), key=lambda step: self.lag_errors[step])
         end_ms = self.last_change_ms(now_ms) - best_lag_steps * METER_LAG_STEP_MS
         return end_ms - self.period_ms, end_ms
 
     def learn_lag(self, now_ms: float, customer: Customer, metered_units: float) -> None:
-        """Score each lag by how well our sends, scaled by our part, foretell the reading.
+        """Score each candidate lag by how well the gateway's own sends predict the reading.
 
-        Each miss counts against what chance and a misjudged part make of it (binomial own sends): else the
-        few largest customers decide, by noise. It hurts where the large ones alone are steady.
+        The own sends are divided by the gateway's fraction of the customer's traffic. Each squared error is
+        divided by its expected value, given binomially distributed own sends and an inexact fraction.
+        Otherwise the few largest customers would decide, by noise. This is worse where only large customers
+        are steady.
         """
         changed_ms, traffic_fraction = self.last_change_ms(now_ms), customer.traffic_fraction()
         expected_squared_error = (
@@ -328,10 +355,11 @@
 
 
 class Customer:
-    """What this gateway holds of one customer: the let-in share and an estimate of the store.
+    """What this gateway knows of one customer: the evidence on its use and an estimate of its token bucket.
 
-    The store estimate is an exception to the let-in share: for bursts that the store covers, spikes
-    that the meter cannot tell yet and missing readings. It can hurt when our part is misjudged.
+    A bucket that is full enough admits requests that the admission share would refuse. This covers bursts
+    within the quota, spikes that the meter does not show yet and missing readings. It admits wrongly if the
+    gateway's fraction of the customer's traffic is misjudged.
     """
 
     __slots__ = (
@@ -360,10 +388,12 @@
         self.plan = plan
         self.customer_gateway_count = max(1, customer_gateway_count)
         self.bucket = TokenBucket(plan.rate, plan.burst, plan.burst, now_ms)
-        self.metered_ms = self.metered_demand_units = 0.0  # weighted time metered, and units used in it
+        # Decayed sums over readings: metered time, and use divided by the admission share then in effect.
+        self.metered_ms = self.metered_demand_units = 0.0
         self.own_demand_units, self.last_request_ms, self.gateway_started_ms = 0.0, now_ms, gateway_started_ms
-        # Alone within 1/doors of the ceiling; empty when this gateway started, as its last life may have
-        # drawn all, and filled since then: nothing of this customer was sent on.
+        # Each gateway keeps to an equal part of the ceiling without coordination. The bucket is empty at the
+        # gateway's start, as an earlier process may have used all of it, and has been refilled since then,
+        # as nothing was sent for this customer.
         ceiling_empty_ms = min(gateway_started_ms, now_ms)
         self.ceiling_bucket = TokenBucket(
             plan.ceiling_rate / self.customer_gateway_count,
@@ -371,25 +401,32 @@
             0.0,
             ceiling_empty_ms,
         )
-        # Of own first sends: time, running sums of units, and of units with the others' share.
+        # Of own first attempts: time in ms, cumulative units, cumulative units with predicted use elsewhere.
         self.send_history = [(-INF, 0.0, 0.0)]
-        self.period_end_level = (plan.burst, now_ms)  # store estimate at the end of the last metered period
+        # Estimated level of the bucket at the end of the last metered period, and that end in ms.
+        self.period_end_level = (plan.burst, now_ms)
         self.reading_received_ms = self.reading_applied_ms = -INF
+        # Decayed sums over readings: use through this gateway and through all gateways.
         self.own_use_units = self.total_use_units = 0.0
         self.usage_percent: int | None = None
         self.outstanding_count = 0
 
     def traffic_fraction(self) -> float:
-        """Our part of the customer's traffic, learned from the meter; even before evidence."""
+        """Return the estimated fraction of the customer's traffic that goes through this gateway.
+
+        It is learned from the meter; before any evidence, traffic is taken to be spread evenly over the
+        gateways.
+        """
         prior_units = TRAFFIC_FRACTION_PRIOR_UNITS / self.customer_gateway_count
         return min(
             1.0, (self.own_use_units + prior_units) / (self.total_use_units + TRAFFIC_FRACTION_PRIOR_UNITS)
         )
 
     def admission_share(self, now_ms: float) -> float:
-        """The let-in share: the rate over the use that readings, own tries and a thin guess foretell.
+        """Return the admission share: the rate divided by the expected demand, at most 1.
 
-        All fade, so that what a rarely seen customer once did does not bind it (Gamma-Poisson).
+        The demand is a Gamma-Poisson estimate from readings, own requests and a weak prior. The evidence
+        decays, so that a rarely seen customer is not limited by what it did long ago.
         """
         if self.plan.rate <= 0:
             return min(1.0, 100.0 / (self.usage_percent or 100.0))
@@ -419,7 +456,12 @@
         )
 
     def predicted_others_use(self) -> tuple[float, float]:
-        """What the others draw in a burst's time for each own unit, and units a ms besides (as share)."""
+        """Predict the use at the customer's other gateways, from what this gateway sends.
+
+        Returns the units that they use for each own unit, within the time in which the burst refills, and
+        the units per millisecond that they use regardless of own sends. This is a Gamma-Poisson estimate, as
+        in `admission_share`.
+        """
         traffic_fraction, rate_per_ms = self.traffic_fraction(), max(1e-9, self.plan.rate / 1000.0)
         prior_units = max(
             OTHERS_PRIOR_MIN_WEIGHT_UNITS, OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY * self.customer_gateway_count
@@ -434,7 +476,7 @@
         )
 
     def record_send(self, now_ms: float, units: float) -> None:
-        """Book a first send: the others draw in proportion, unseen."""
+        """Record a first attempt and, in proportion to it, the predicted use at other gateways."""
         others_units_per_own_unit, others_units_per_ms = self.predicted_others_use()
         total_units = units * (1.0 + others_units_per_own_unit)
         self.bucket.rate = self.plan.rate - 1000.0 * others_units_per_ms
@@ -452,7 +494,10 @@
             self.ceiling_bucket.level -= units
 
     def can_expire(self, now_ms: float, over_limit: bool) -> bool:
-        """Whether one made anew would stand as this one does; when pressed the ceiling alone counts."""
+        """Return whether a new record of this customer would be the same, so that this one can be removed.
+
+        If `over_limit`, only outstanding attempts and the ceiling bucket prevent the removal.
+        """
         if self.outstanding_count or self.ceiling_bucket.refill(now_ms) < self.ceiling_bucket.depth:
             return False
         own_demand_units = self.own_demand_units * math.exp((self.last_request_ms - now_ms) / USE_DECAY_MS)
@@ -463,11 +508,14 @@
         return over_limit or (is_idle and self.bucket.refill(now_ms) >= self.bucket.depth)
 
     def units_sent_until(self, until_ms: float) -> tuple[float, float]:
-        """Units of own first sends up to then, without and with the others', from some origin."""
+        """Return the cumulative units of own first attempts, without and with predicted use elsewhere.
+
+        Only differences between two results have a meaning.
+        """
         return self.send_history[max(0, bisect_right(self.send_history, (until_ms, INF, INF)) - 1)][1:]
 
     def apply_reading(self, now_ms: float, usage_percent: int, meter_clock: MeterClock) -> None:
-        """Take one reading a metered period: set the let-in share, mend the store estimate."""
+        """Apply a reading, once per metered period, to the admission share and to the bucket's level."""
         previous_received_ms, self.reading_received_ms = self.reading_received_ms, now_ms
         if usage_percent == self.usage_percent and self.reading_applied_ms >= meter_clock.last_change_ms(
             now_ms
@@ -498,7 +546,7 @@
         self._rebase_bucket(now_ms, start_ms, end_ms, metered_units)
 
     def _rebase_bucket(self, now_ms: float, start_ms: float, end_ms: float, metered_units: float) -> None:
-        """Replay the store: the metered use up to a period's end, our foretelling since then."""
+        """Recompute the bucket's level from metered use up to `end_ms` and predicted use since then."""
         rate_per_ms, burst = self.plan.rate / 1000.0, self.plan.burst
         level, level_ms = self.period_end_level
         if start_ms < level_ms - (end_ms - start_ms) / 2:
@@ -523,18 +571,20 @@
         )
 
     def has_ample_units(self, now_ms: float, units: float) -> bool:
-        """Whether the store has so much left that these units will hardly be missed."""
+        """Return whether so much is left in the bucket that other requests will hardly need these units."""
         return (
             self.plan.rate <= 0
             or self.bucket.refill(now_ms) - units >= AMPLE_LEVEL_BURST_FRACTION * self.plan.burst
         )
 
     def _reserved_units(self, admission_share: float, relative_worth: float) -> float:
-        """Units that a request leaves in the store for dearer ones, by its worth as a part of the dearest's.
+        """Return the units that a request must leave in the bucket for requests of more worth.
 
-        What a customer asks beyond its quota is refused anyhow; so it is the cheaper part. It also gives the
-        estimate a margin. It hurts a customer that asks for cheap things alone: that much of its burst, and
-        where it is beyond its quota a little of its rate, go unused.
+        `relative_worth` is the request's worth as a fraction of the highest worth of a class. What a
+        customer requests beyond its quota is refused in any case; the reserve makes this the requests of
+        less worth. It is also a safety margin for the estimated level. The drawback: a customer that sends
+        only requests of low worth cannot use the reserved part of its burst and, when beyond its quota, a
+        little of its rate.
         """
         over_quota_fraction = (
             OVER_QUOTA_RESERVE_BURST_FRACTION
@@ -543,7 +593,11 @@
         return (BASE_RESERVE_BURST_FRACTION + over_quota_fraction) * (1.0 - relative_worth) * self.plan.burst
 
     def admits(self, now_ms: float, units: float, random_value: float, relative_worth: float = 1.0) -> bool:
-        """The let-in share; a store full enough passes without it where it rests on own sends."""
+        """Decide whether the quota admits a request, given a `random_value` from 0 to 1.
+
+        The admission share is the probability of admission. It is not applied if the bucket is full enough,
+        as long as own sends are evidence about the bucket's level.
+        """
         admission_share = self.admission_share(now_ms)
         self.own_demand_units = (
             self.own_demand_units * math.exp((self.last_request_ms - now_ms) / USE_DECAY_MS) + units
@@ -570,8 +624,10 @@
 # --- Server health and choice -------------------------------------------------------------------
 @dataclass(slots=True)
 class Attempt:
+    """An attempt at a server; `server_entry` is kept, as the server may be removed before the request."""
+
     number: int
-    server_entry: api.Server  # as it was then: it may be forgotten before the request is
+    server_entry: api.Server  # as listed when the attempt was sent
     sent_ms: float
     is_outstanding: bool = True
     may_have_run: bool = True
@@ -579,17 +635,21 @@
 
 @dataclass(slots=True)
 class TrackedServer:
-    """A server as this gateway sees it."""
+    """State and statistics of one server, as seen by this gateway.
+
+    `slow_start_tokens` is the number of requests that a cold server may get, at most 1; `reported_load` is
+    in outstanding requests.
+    """
 
     entry: api.Server
     first_listed_ms: float
     outstanding_count: int = 0
     last_answer_ms: float = -INF
-    prompt_answer_ms: float = -INF  # its latest answer, where that came soon and nothing went wrong since
+    prompt_answer_ms: float = -INF  # time of a prompt answer, unless an attempt ended otherwise since
     suspect: bool = False
     next_trial_ms: float = 0.0
     backoff_exponent: int = 0
-    consecutive_errors: int = 0  # since its last good answer
+    consecutive_errors: int = 0  # since its last success
     avoid_until_ms: float = -INF
     reported_load: float = 0.0
     load_reported_ms: float = -INF
@@ -598,7 +658,7 @@
 
 
 class Fleet:
-    """The list, health by silence, slow start of cold servers, and the choice among them."""
+    """The servers: server list, outlier ejection, slow start of cold servers and server choice."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings = settings
@@ -616,7 +676,10 @@
         self.admitted_times_ms: deque[float] = deque()
 
     def apply_server_list(self, now_ms: float, event: api.ServerList) -> None:
-        """Apply a list event; a complete list drops what it does not name. A change costs its own length."""
+        """Apply a server list; a complete list removes the servers that it does not name.
+
+        The cost of a change is proportional to the number of its entries, not to the number of servers.
+        """
         if event.kind is api.ListKind.FAILED:
             return
         changed_entries = list(event.servers)
@@ -629,8 +692,9 @@
         for entry in changed_entries:
             server = self.servers.get(entry.id)
             if server is None or entry.started_ms > server.entry.started_ms:
-                # A new process: nothing known of the old one holds. Its first send is due at random,
-                # so that hundreds of gateways, each of which earns less than one, add up to their part.
+                # A new process: nothing known of the old one applies. Its slow start tokens begin at a
+                # random value: each of hundreds of gateways gains less than one token while the server is
+                # cold, but together they send it the flow that is due.
                 outstanding_count = server.outstanding_count if server else 0
                 server = TrackedServer(
                     entry, now_ms, outstanding_count=outstanding_count, slow_start_tokens=self.rng.random()
@@ -647,7 +711,7 @@
 
     @property
     def ready_servers(self) -> list[TrackedServer]:
-        """The servers that may be sent to, listed anew when one is next looked for after changes."""
+        """The servers in state READY; the list is rebuilt at the first use after a change."""
         if self._ready_servers is None:
             self._ready_servers = [
                 server for server in self.servers.values() if server.entry.state is ServerState.READY
@@ -655,17 +719,21 @@
         return self._ready_servers
 
     def warm_fraction(self, server: TrackedServer, now_ms: float) -> float:
-        """The part of its capacity a server surely has: from cold_from, evenly over cold_ms."""
+        """Return the least fraction of its capacity that a server has.
+
+        It grows from `cold_from` to 1, linearly over `cold_ms`.
+        """
         if server.entry.started_ms <= 0 or self.settings.cold_ms <= 0:
             return 1.0
         age_fraction = max(0.0, now_ms - server.entry.started_ms) / self.settings.cold_ms
         return min(1.0, self.settings.cold_from + (1.0 - self.settings.cold_from) * age_fraction)
 
     def _refill_slow_start_tokens(self, server: TrackedServer, now_ms: float) -> float:
-        """Slow start: a cold server earns its warm part of a warm server's flow, for the cold rule bounded.
+        """Add the slow start tokens that a cold server has gained, and return its tokens.
 
-        The mean flow to a server is less than a warm one bears, so a bound in its terms holds also where
-        hardly a server is warm and the flow to those would say nothing.
+        A cold server gains its warm fraction of a warm server's flow, bounded by the cold rule. The bound
+        refers to the mean flow to a server, which is less than a warm server can take. So it also holds
+        where hardly any server is warm, and where the flow to warm servers would say nothing.
         """
         self.trim_admitted_times(now_ms)
         server_count = max(1, len(self.ready_servers))
@@ -686,7 +754,7 @@
         return server.slow_start_tokens
 
     def _total_warm_capacity(self, now_ms: float) -> float:
-        """How many warm servers those in use amount to; cold ones by their warm part."""
+        """Return the number of servers in use, where a cold one counts as its warm fraction."""
         if now_ms - self.warm_capacity_updated_ms >= WARM_CAPACITY_UPDATE_INTERVAL_MS:
             self.warm_capacity_updated_ms = now_ms
             self.warm_capacity = max(
@@ -698,11 +766,12 @@
         return self.warm_capacity
 
     def trim_admitted_times(self, now_ms: float) -> None:
+        """Remove the times that are older than the load window."""
         while self.admitted_times_ms and self.admitted_times_ms[0] < now_ms - LOAD_WINDOW_MS:
             self.admitted_times_ms.popleft()
 
     def usable(self, server: TrackedServer, now_ms: float) -> bool:
-        """Whether the drain and cold rules let a new attempt go to this server."""
+        """Return whether the drain and cold rules allow a new attempt at this server."""
         if server.entry.state is not ServerState.READY:
             return False
         warm_fraction = self.warm_fraction(server, now_ms)
@@ -712,11 +781,15 @@
         )
 
     def selection_cost(self, server: TrackedServer, now_ms: float) -> float:
-        """Least outstanding requests, weighed by size and what its reports say; a cold send due is due.
+        """Return a server's cost, in outstanding requests per relative capacity, for the choice of the least.
+
+        This is the rule of least outstanding requests, with the server's load reports added. A cold server
+        with a slow start token costs 0, so that it gets its request at once.
 
-        Where a limiter sends less than one request a server in a window, one goes before its equals that has
-        just answered soon, or whose trial as a suspect is due. Else each limiter finds out anew which servers
-        are jammed, at one after the other, and opens a new connection to each.
+        If a gateway sends less than one request per server within the load window, then among equal servers
+        it prefers one that has recently answered promptly or is a suspect whose trial is due. Otherwise each
+        gateway would discover the overloaded servers anew, one after the other, and open a new connection to
+        each.
         """
         if self.warm_fraction(server, now_ms) < 1.0:
             return 0.0
@@ -737,8 +810,12 @@
         return (1.0 + server.outstanding_count + expected_load - prompt_answer_bonus) / relative_capacity
 
     def avoided_until(self, server: TrackedServer, now_ms: float) -> float:
-        """Until when a server is left alone: as a suspect, as full, or with its zone; now where it is not."""
-        # A zone cut off or restarting at once: with many gateways nobody can try each of its servers.
+        """Return until when a server is avoided, or `now_ms` if it is not.
+
+        A server is avoided as a suspect, after a rejection, or together with its zone.
+        """
+        # A whole zone may be cut off or restart at once. Each of many gateways sends too little to try every
+        # server of the zone, so the zone is avoided as a whole.
         failure_count, last_failure_ms = self.zone_failures.get(server.entry.zone, (0, 0.0))
         suspect_until_ms = server.next_trial_ms if server.suspect else now_ms
         return max(
@@ -755,10 +832,13 @@
         tried_ids: set[int],
         allow_avoided: bool = True,
     ) -> TrackedServer | None:
-        """The cheapest of a few random servers, against herding; a shunned one only where no other is left.
+        """Return the server of least cost in a random sample, or None if none is allowed.
 
-        Of those the one that is due soonest: by their cost all gateways would take the same few, which look
-        free because they turn all away. Where `shunned` is False, none of them.
+        Sampling avoids herding; without a suitable server in the sample, all are considered.
+
+        An avoided server is chosen only if no other is left, and not at all unless `allow_avoided`. Of the
+        avoided servers the one whose avoidance ends first is chosen. By cost, all gateways would choose the
+        same few servers, which look idle because they reject every request.
         """
 
         def rank(server: TrackedServer) -> tuple[float, bool, float]:
@@ -781,7 +861,10 @@
         return best[1] if best and (allow_avoided or best[0][0] <= now_ms) else None
 
     def record_attempt_end(self, now_ms: float, event: api.AttemptEnded) -> None:
-        """Learn from an attempt's end; any answer clears a suspicion."""
+        """Update a server's statistics and health from the end of an attempt.
+
+        An answer clears a suspicion, unless it is a rejection or a repeated error.
+        """
         if (server := self.servers.get(event.server_id)) is None:
             return
         server.outstanding_count -= 1
@@ -803,7 +886,7 @@
             server.last_answer_ms = now_ms
             self.zone_failures.pop(server.entry.zone, None)
         if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED, CallStatus.RESET):
-            # A reset may be the connection's own end; a process that died refuses the next one, too.
+            # A single reset may concern only the connection; a dead process refuses the next one, too.
             if event.status is not CallStatus.REJECTED:
                 server.consecutive_errors = (
                     0 if event.status is CallStatus.OK else server.consecutive_errors + 1
@@ -812,13 +895,14 @@
                 self.mark_suspect(server, now_ms)
             elif event.status in (CallStatus.OK, CallStatus.ERROR):
                 self.clear_suspicion(server, now_ms)
-        # Silence while it had work is the sign of a vanished server, a refused connection of a lost one.
+        # A server that answered nothing during a whole attempt may have vanished, and one that refuses a
+        # connection is down.
         is_silent = event.status is CallStatus.TIMEOUT and server.last_answer_ms < now_ms - event.elapsed_ms
         if event.status is CallStatus.REJECTED:
             server.avoid_until_ms = (
                 now_ms + REJECTION_AVOIDANCE_MS * self.gateway_count_factor * self._jitter_factor()
             )
-            if server.suspect:  # it lives, but what it holds already is too much
+            if server.suspect:  # alive, but overloaded by its present work
                 self.mark_suspect(server, now_ms)
         elif is_silent or event.status is CallStatus.CONNECT_FAILED:
             self.mark_suspect(server, now_ms)
@@ -829,7 +913,10 @@
         self.record_load_report(now_ms, event.server_id, event.load_report)
 
     def record_load_report(self, now_ms: float, server_id: int, values: tuple[float, ...]) -> None:
-        """Read a load report: requests in hand or queued, else how busy its cores are."""
+        """Update a server's load from a report.
+
+        The load is the number of requests in flight, or else in the queue, plus a share for CPU utilization.
+        """
         server = self.servers.get(server_id)
         if server is None or not values:
             return
@@ -844,10 +931,14 @@
         )
 
     def _jitter_factor(self) -> float:
+        """Return a random factor for a wait, at least 1."""
         return 1.0 + MAX_JITTER_FRACTION * self.rng.random()
 
     def clear_suspicion(self, server: TrackedServer, now_ms: float) -> None:
-        """It answers; so its zone may be back, and the zone's other suspects get their trials soon."""
+        """End the avoidance of a suspect that answers.
+
+        Its zone may be back, so the zone's other suspects get their trials soon.
+        """
         if server.suspect:
             for other in self.suspects.values():
                 if other.entry.zone == server.entry.zone:
@@ -858,10 +949,11 @@
         self.suspects.pop(server.entry.id, None)
 
     def mark_suspect(self, server: TrackedServer, now_ms: float) -> None:
-        """Leave a server alone but for trials: all limiters' together, as often as a few limiters' before.
+        """Avoid a server except for trials, with exponential backoff.
 
-        A slow server gets a trial of each limiter as its next request; sent as often by all, these alone keep
-        it jammed, and every one is lost.
+        The backoff grows with the number of gateways, so that all of them together send as many trials as a
+        few gateways would. If each sent its trials as often, the trials alone would keep a slow server
+        overloaded, and every one of them would be lost.
         """
         server.suspect = True
         self.suspects[server.entry.id] = server
@@ -871,27 +963,36 @@
         )
         backoff_factor = min(max_factor, growth_factor**server.backoff_exponent)
         server.next_trial_ms = now_ms + TRIAL_BACKOFF_MS * backoff_factor * self._jitter_factor()
-        if backoff_factor < max_factor:  # beyond, the power would leave the range of floats
+        if backoff_factor < max_factor:  # otherwise the power would in time overflow a float
             server.backoff_exponent += 1
 
     def mostly_suspect(self) -> bool:
-        """Whether most are suspect: a jam, whose time-outs are latencies. It hurts if most truly vanished."""
+        """Return whether most servers are suspect, which is taken for an overload.
+
+        Timeouts then count as latencies, which is wrong if most servers have really vanished.
+        """
         return len(self.suspects) > OVERLOAD_SUSPECT_FRACTION * len(self.ready_servers)
 
 
 # --- Request life cycle -------------------------------------------------------------------------
 @dataclass(slots=True)
 class Request:
+    """A request that has no final answer yet, or still has outstanding attempts.
+
+    `streaming` tells that the client has received the first part of a streamed answer.
+    """
+
     arrival: api.RequestArrived
     request_class: api.RequestClass
     lane: int
-    useful_until_ms: float  # work past this is worth nothing
+    useful_until_ms: float  # an answer after this time is worth nothing
     customer: Customer
     attempts: list[Attempt] = field(default_factory=list)
     open: bool = True
     streaming: bool = False
 
     def outstanding_count(self) -> int:
+        """Return the number of outstanding attempts."""
         return sum(1 for attempt in self.attempts if attempt.is_outstanding)
 
 
@@ -899,7 +1000,11 @@
 
 
 def split_lanes(classes: tuple[api.RequestClass, ...]) -> list[int]:
-    """Lane 0 holds the tight aims; aims that hardly differ share it, as squeezing equals loses more."""
+    """Return the lane of each class: 0 for the tightest aims, 1 for the others.
+
+    Classes whose aims hardly differ share a lane, because capping one class for the sake of a similar one
+    loses more than it gains.
+    """
     tightest_aim_ms = min((request_class.aim_ms for request_class in classes), default=0.0)
     return [
         0 if request_class.aim_ms <= SAME_LANE_AIM_FACTOR * tightest_aim_ms else 1
@@ -908,7 +1013,7 @@
 
 
 class Gateway:
-    """One gateway's decisions: `handle` takes each event and returns the actions it causes."""
+    """The decisions of one gateway: `handle` takes each event and returns the actions that follow from it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -919,6 +1024,7 @@
         self.meter_clock = MeterClock(settings.metering_ms)
         self.requests: dict[int, Request] = {}
         self.lane_caps: tuple[float, float] = (INF, INF)
+        # By lane: outstanding attempts, and timed-out attempts that the servers are taken to work on still.
         self.occupied_slots = [0, 0]
         # Heap of (release time in ms, lane): slots held by attempts that timed out.
         self.timed_out_slots: list[tuple[float, int]] = []
@@ -926,15 +1032,16 @@
             LOAD_WINDOW_MS, MAX_OBSERVATION_AGE_MS, MIN_OBSERVATION_COUNT
         )
         self.answer_time_distributions = [latency.AnswerTimeDistribution() for _ in settings.classes]
-        self.light_load_latency_ms = [INF, INF, INF]  # light-load latency of lane one, lane two and both
+        self.light_load_latency_ms = [INF, INF, INF]  # of lane one, of lane two, of both
+        # Requests that the quota admitted: time in ms, lane, units.
         self.admitted_arrivals: deque[tuple[float, int, float]] = deque()
-        self.mean_occupied_slots, self.mean_slots_updated_ms = [0.0, 0.0], -INF  # of each lane
-        self.first_request_ms = INF  # when the first request came
+        self.mean_occupied_slots, self.mean_slots_updated_ms = [0.0, 0.0], -INF  # by lane
+        self.first_request_ms = INF
         self.thresholds_updated_ms = -INF
-        self.last_rejection_ms = -INF  # when a server last turned a request away
-        self.heavy_answer_loss = False
-        self.light_answer_loss = False  # some answers get lost though hardly one is late
-        self.started_ms, self.customers_expired_ms = INF, 0.0
+        self.last_rejection_ms = -INF  # by any server
+        self.heavy_answer_loss = False  # many answers get lost, although the others come quickly
+        self.light_answer_loss = False  # some answers get lost, although hardly any answer is late
+        self.started_ms, self.customers_expired_ms = INF, 0.0  # started at the first server list
         self.max_class_worth = (
             max((request_class.worth for request_class in settings.classes), default=0.0) or 1.0
         )
@@ -972,11 +1079,11 @@
         return self.actions
 
     def _expire_customers(self, now_ms: float) -> None:
-        """Forget customers that have been idle for longest, and what the flow no longer counts."""
+        """Remove idle customers, the longest idle first, and admission times past the load window."""
         self.fleet.trim_admitted_times(now_ms)
         excess_count = len(self.customers) - MAX_CUSTOMER_COUNT
         expired_ids: list[int] = []
-        for customer_id, customer in self.customers.items():  # the longest idle first
+        for customer_id, customer in self.customers.items():  # in order of their last requests
             over_limit = len(expired_ids) < excess_count
             if not over_limit and now_ms - customer.last_request_ms < LIGHT_CUSTOMER_EXPIRY_MS:
                 break
@@ -986,13 +1093,14 @@
             del self.customers[customer_id]
 
     def _on_server_list(self, now_ms: float, event: api.ServerList) -> None:
+        """Apply a server list; subscribe to changes if it is a stored list or none was delivered."""
         self.fleet.apply_server_list(now_ms, event)
         self.started_ms = min(self.started_ms, now_ms)
         if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
             self.actions.append(api.Subscribe(True))
 
     def _on_request_arrived(self, now_ms: float, event: api.RequestArrived) -> None:
-        """The ordinary path: let-in share, lane cap, server choice; what fails is refused at once."""
+        """Check quota and lane cap and send the first attempt; refuse at once if any of these fails."""
         self.first_request_ms = min(self.first_request_ms, now_ms)
         request_class = self.settings.classes[event.class_index]
         customer = self.customers.pop(event.customer_id, None)
@@ -1000,8 +1108,8 @@
             customer = Customer(
                 self.settings.plans[event.plan_index], event.customer_gateway_count, now_ms, self.started_ms
             )
-        self.customers[event.customer_id] = customer  # behind all others: the latest to ask
-        # Where a late answer earns little, an attempt past the aim is waste and feeds a jam.
+        self.customers[event.customer_id] = customer  # at the end of the order of last requests
+        # If a late answer is worth little, work past the aim is wasted and adds to an overload.
         ends_at_aim = (
             request_class.late_worth <= LOW_LATE_WORTH
             and request_class.aim_stretch <= 0
@@ -1031,12 +1139,13 @@
         self._finish_unanswered(now_ms, request)
 
     def _lane_admits(self, now_ms: float, request: Request) -> bool:
-        """Whether the lane has room for an answer to this request, not only for one attempt at it.
+        """Return whether the lane has headroom for an answer to the request, not only for an attempt.
 
-        Where an attempt is answered in time with some chance, an answer takes the inverse of it in attempts,
-        and the others are work for nobody. So a request whose client hardly waits needs that much room: where
-        the lane is pressed it gives way to those that the same work would answer. Below the cap by less than
-        one: by chance, which mixes the two whole thresholds beside it.
+        If an attempt is answered in time with probability p, an answer takes 1/p attempts, and the work on
+        the others is wasted. A request whose client waits only briefly therefore needs headroom for 1/p
+        attempts; in a lane near its cap it is refused in favour of requests that the same work would answer.
+        Headroom of less than one request admits with that probability, which mixes the two integer
+        thresholds next to the cap.
         """
         expected_attempts = 1.0 / self.answer_time_distributions[
             request.arrival.class_index
@@ -1044,11 +1153,13 @@
         return expected_attempts - 1.0 + self.rng.random() < self._lane_headroom(request.lane)
 
     def _lane_headroom(self, lane: int) -> float:
-        """How many more requests of a lane may go out: up to its threshold, and for chance beyond it.
+        """Return how many more requests of a lane may be sent, with a margin for random fluctuations.
 
-        The swing of a sum is the root of the sum: of few gateways each may add the root of its own threshold,
-        of many that root in part. The whole root passes swings alone, while the lane's mean count is below
-        the threshold: where thresholds are small, many gateways' roots would be more than all thresholds.
+        The standard deviation of a count is about its square root. Each of a few gateways may exceed its own
+        threshold by a multiple of that root, each of many by less, as fluctuations of different gateways
+        cancel out. While the lane's mean count is below the threshold, the full margin applies, which lets
+        fluctuations pass. Otherwise many gateways with small thresholds would have margins larger than all
+        thresholds.
         """
         cap, mean_slots = self.lane_caps[lane], self.mean_occupied_slots[lane]
         if cap == INF:
@@ -1058,12 +1169,15 @@
         return cap + CAP_MARGIN_STDDEVS * math.sqrt(cap) * margin_factor - self.occupied_slots[lane]
 
     def _is_late_retry(self, now_ms: float, event: api.RequestArrived) -> bool:
-        """Whether this is a repeat that can hardly be answered within the aim, counted from the first try.
+        """Return whether this is a client's retry that comes too late for an answer within the aim.
 
-        No try waits past the end of its request, so one that waits for less than first ones do is a repeat,
-        and what its wait falls short of the class's deadline has passed. A request that was long on its way
-        shows the same. It hurts clients whose first tries wait for less than others': taken for repeats, they
-        get what the customer's store can spare.
+        The aim is counted from the client's first attempt.
+
+        No client waits past the end of its request. So an attempt with a shorter wait than first attempts is
+        a retry, and the time by which its wait is shorter than the class's deadline has already passed. A
+        request that was delayed on its way looks the same. The drawback: clients whose first attempts wait
+        for less time than those of others are taken for retries, and get only what the customer's bucket has
+        to spare.
         """
         request_class, waits_ms, wait_ms = (
             self.settings.classes[event.class_index],
@@ -1078,14 +1192,15 @@
             or len(waits_ms) < MIN_OBSERVATION_COUNT
         ):
             return False
-        # First tries wait alike, repeats for what is left of their time; last ones may wait for longer.
+        # First attempts have similar waits, and retries wait for the rest of that time. The last retry of a
+        # request may wait for longer, as nothing follows it.
         bin_counts = Counter(round(sample_ms / CLIENT_WAIT_BIN_MS) for sample_ms in waits_ms)
         min_count = FIRST_ATTEMPT_BIN_MIN_FRACTION * max(bin_counts.values())
         first_attempt_bin = min(wait_bin for wait_bin, count in bin_counts.items() if count >= min_count)
         return wait_ms < (first_attempt_bin - 1) * CLIENT_WAIT_BIN_MS
 
     def _may_send_to(self, request: Request, server: TrackedServer, now_ms: float) -> bool:
-        """The repeats rule, passed by every send."""
+        """Return whether the rules on repeated execution allow an attempt at this server."""
         if request.outstanding_count() and not self.settings.second_copies:
             return False
         possibly_run = [attempt for attempt in request.attempts if attempt.may_have_run]
@@ -1104,6 +1219,7 @@
     def _in_dedup_scope(
         self, dedup_scope: DedupScope, earlier_entry: api.Server, server: TrackedServer
     ) -> bool:
+        """Return whether the server would recognise a repeat of an attempt at the earlier server."""
         if dedup_scope is DedupScope.ALL:
             return True
         return (
@@ -1113,7 +1229,7 @@
         )
 
     def _send_attempt(self, now_ms: float, request: Request, tried_ids: set[int]) -> bool:
-        """The one place that sends: every rule on sending is checked here."""
+        """Send an attempt if every rule on sending allows it; no other method sends."""
         arrival, is_first_attempt = request.arrival, not request.attempts
         if not request.open or request.streaming or now_ms >= request.useful_until_ms:
             return False
@@ -1126,7 +1242,8 @@
             and customer.ceiling_bucket.refill(now_ms) < arrival.units
         ):
             return False
-        # A further attempt at a server that is full or silent would only add to what keeps it so.
+        # Retries are not sent to avoided servers: they would add to the overload that makes a server reject
+        # requests or leave them unanswered.
         server = self.fleet.choose_server(
             now_ms,
             lambda candidate: self._may_send_to(request, candidate, now_ms),
@@ -1139,7 +1256,7 @@
         request.attempts.append(attempt)
         server.outstanding_count += 1
         server.slow_start_tokens -= 1.0
-        if server.suspect:  # a trial; the next one waits for its outcome
+        if server.suspect:  # this attempt is a trial, and the next trial waits for its result
             self.fleet.mark_suspect(server, now_ms)
         self.occupied_slots[request.lane] += 1
         request.customer.outstanding_count += 1
@@ -1162,7 +1279,10 @@
         return True
 
     def _finish_unanswered(self, now_ms: float, request: Request) -> None:
-        """The one place that ends a request: refused where a retry is surely harmless, else failed."""
+        """End a request without an answer; no other method does.
+
+        The request is refused if a retry by the client is surely harmless, else failed.
+        """
         if not request.open or request.streaming:
             return
         may_have_run = any(attempt.may_have_run for attempt in request.attempts)
@@ -1185,8 +1305,11 @@
         self._remove_if_finished(request)
 
     def _retry_after_ms(self, now_ms: float, request: Request) -> float:
-        """When to come back, in ms: once what is out has mostly ended, or where the meter says that the
-        quota is used up, once the store holds the units again."""
+        """Return the delay, in ms, after which a retry is advised.
+
+        This is the mean latency, after which most outstanding attempts have ended. If the meter shows that
+        the quota is used up, it is at least the time until the bucket holds the request's units again.
+        """
         customer, wait_ms = request.customer, self.fleet.mean_latency_ms
         missing_units = request.arrival.units - customer.bucket.refill(now_ms)
         if (customer.usage_percent or 0) >= 100 and missing_units > 0 and customer.plan.rate > 0:
@@ -1194,22 +1317,24 @@
         return min(self.settings.max_retry_after_ms, wait_ms)
 
     def _remove_if_finished(self, request: Request) -> None:
+        """Remove a request that has its final answer and no outstanding attempts."""
         if not request.open and not request.outstanding_count():
             self.requests.pop(request.arrival.request_id, None)
 
     def _on_request_abandoned(self, now_ms: float, event: api.RequestAbandoned) -> None:
-        """The client has gone: nobody waits for what is still out."""
+        """Cancel the outstanding attempts of a request whose client has gone."""
         if request := self.requests.get(event.request_id):
             request.open = False
             self._cancel_outstanding(request)
             self._remove_if_finished(request)
 
     def _on_stream_started(self, now_ms: float, event: api.StreamStarted) -> None:
-        """The answer is the client's now: neither sent again, withdrawn nor ended here."""
+        """Record that the answer goes to the client: no retry, cancellation or refusal after this."""
         if request := self.requests.get(event.request_id):
             request.streaming = True
 
     def _cancel_outstanding(self, request: Request) -> None:
+        """Cancel the request's outstanding attempts, if the settings allow it."""
         if self.settings.may_cancel and not request.streaming:
             request_id = request.arrival.request_id
             self.actions += [
@@ -1219,7 +1344,7 @@
             ]
 
     def _on_attempt_ended(self, now_ms: float, event: api.AttemptEnded) -> None:
-        """Book an attempt's end, learn from it, then close, retry or answer the request."""
+        """Record the end of an attempt and learn from it, then close, retry or finish the request."""
         server = self.fleet.servers.get(event.server_id)
         was_suspect = server is not None and server.suspect and not self.fleet.mostly_suspect()
         self.fleet.record_attempt_end(now_ms, event)
@@ -1230,7 +1355,8 @@
         attempt.may_have_run = event.status not in NEVER_RAN
         request.customer.outstanding_count -= 1
         if event.status is CallStatus.TIMEOUT and not was_suspect and not self.heavy_answer_loss:
-            # Given up, not ended: the server works on it or still will, after a short wait for the longer.
+            # The server still works on a timed-out attempt or has yet to begin with it. So the attempt's slot
+            # stays occupied: as long as the attempt was waited for, and at least for the mean latency.
             remaining_ms = max((TIMED_OUT_WORK_FACTOR - 1.0) * event.elapsed_ms, self.fleet.mean_latency_ms)
             heapq.heappush(self.timed_out_slots, (now_ms + remaining_ms, request.lane))
         else:
@@ -1244,7 +1370,7 @@
             and not event.attempt_number
         ):
             request.customer.bucket.level += request.arrival.units - event.charged_units
-        # Work lost at a suspect says nothing of the back end's load; elsewhere a time-out is a latency.
+        # A timeout at a suspect says nothing about the back end's load; elsewhere it is a censored latency.
         if event.status is CallStatus.OK or (event.status is CallStatus.TIMEOUT and not was_suspect):
             answered = event.status is CallStatus.OK
             self.latency_window.add(
@@ -1264,8 +1390,12 @@
     def _update_light_load_latency(
         self, index: int, weighted_observations: list[tuple[float, float, bool]]
     ) -> float:
-        """The 10th-percentile latency, remembered through a jam, where it waits too and load reads low.
-        It hurts, for some seconds, where requests truly become heavier."""
+        """Update and return the remembered 10th percentile of the latency in ms; 0 without observations.
+
+        `index` is 0 for lane one, 1 for lane two and 2 for both. Growth is limited, because in an overload
+        even fast requests wait, and a percentile that grew with them would make the utilization look low.
+        Where requests really become heavier, the value is too low for some seconds.
+        """
         if weighted_observations:
             self.light_load_latency_ms[index] = min(
                 latency.weighted_p10_ms(weighted_observations),
@@ -1274,7 +1404,10 @@
         return self.light_load_latency_ms[index] if self.light_load_latency_ms[index] < INF else 0.0
 
     def _outstanding_observations(self, now_ms: float) -> list[latency.LatencyObservation]:
-        """What is out, as if given up now: in a jam its age tells an aim sooner than its time-out will."""
+        """Return the outstanding attempts as observations censored now.
+
+        In an overload, their age shows that aims are missed earlier than their timeouts do.
+        """
         return [
             latency.LatencyObservation(now_ms, request.arrival.class_index, now_ms - attempt.sent_ms, False)
             for request in self.requests.values()
@@ -1285,7 +1418,7 @@
         ]
 
     def _update_thresholds(self, now_ms: float) -> None:
-        """Estimate the load from the window and set the lane caps by the search."""
+        """Estimate the utilization from the load window and set the lane caps by the threshold search."""
         self.latency_window.trim(now_ms)
         arrivals, lane_of_class = self.admitted_arrivals, self.lane_of_class
         while arrivals and arrivals[0][0] < now_ms - (
@@ -1297,9 +1430,10 @@
             for request_class, lane in zip(self.settings.classes, lane_of_class, strict=True)
             if lane == 0
         )
-        # Lost answers are told from a jam by the others, which come quickly: no load, worth another try.
-        # It also covers vanished servers; it would feed a jam whose time-outs are one class's alone. What
-        # was given up before most answers come says nothing of either.
+        # Timeouts are taken for lost answers, not for overload, if the other answers come quickly. Lost
+        # answers are no load and worth a retry; the same holds for vanished servers. The drawback: in an
+        # overload where only one class times out, the retries add to it. An attempt that timed out before
+        # most answers arrive is evidence of neither.
         timed_out = self.latency_window.censored_observations()
         answer_times_ms = sorted(
             observed.elapsed_ms for observed in self.latency_window.answered_observations()
@@ -1311,7 +1445,8 @@
         )
         lost_count = sum(1 for observed in timed_out if observed.elapsed_ms >= min_wait_ms)
         many_lost = lost_count > HEAVY_LOSS_MIN_ATTEMPT_FRACTION * (lost_count + len(answer_times_ms))
-        no_rejections = self.last_rejection_ms < now_ms - LOAD_WINDOW_MS  # who turns requests away has a jam
+        # Servers that reject requests are overloaded.
+        no_rejections = self.last_rejection_ms < now_ms - LOAD_WINDOW_MS
         answers_are_fast = (
             len(answer_times_ms) > 3
             and answer_times_ms[len(answer_times_ms) * 3 // 4] < FAST_ANSWER_AIM_FRACTION * tightest_aim_ms
@@ -1390,7 +1525,7 @@
         best_thresholds = next((candidate for candidate in candidates if candidate is not None), None)
         if best_thresholds is None:
             return
-        # Counted from nothing the mean would be low for seconds, and the caps with it.
+        # Corrects the moving average for its start at 0, which would keep it and the caps low for seconds.
         averaged_fraction = 1.0 - math.exp((self.first_request_ms - now_ms) / LOAD_WINDOW_MS)
         requests_per_model_request = max(
             1e-3, sum(self.mean_occupied_slots) / averaged_fraction * (1.0 - utilization) / utilization
