--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -5,13 +5,14 @@
 caller's clock, and units are the quota units of a request.
 
 - Quota: a customer's requests are admitted with a probability, the admission share, which follows from its
-  metered use. An estimate of its token bucket admits bursts.
+  metered use. Where the estimated level of its token bucket is high, requests are admitted regardless.
 - Lanes: classes with tight latency aims are in lane one, the others in lane two. The back end's outstanding
   requests of each lane are capped by the thresholds of de Waal's report BS-R9025 (Section 3).
 - Servers: the server with the least outstanding requests of a random sample is chosen. Servers that fail
   become suspects, which get only occasional trial requests. Servers that started recently are cold and get
   less traffic (slow start).
-- Attempts: a request's first attempt at a server may be followed by retries at others.
+- Attempts: a request is sent as a first attempt at one server and, where a repeat is safe, as retries at
+  others. A request may itself be the retry of a client; then it is called a client's retry.
 """
 
 from __future__ import annotations
@@ -43,24 +44,24 @@
 # Bound on lane one's mean latency, as a fraction of its aim: most answers shall be within the aim, not half.
 MEAN_LATENCY_BOUND_AIM_FRACTION = 0.15
 SAME_LANE_AIM_FACTOR = 1.34  # classes with aims up to this multiple of the tightest aim are in lane one
-LOW_LATE_WORTH = 0.3  # attempts of classes with a late worth up to this end at the aim
+END_AT_AIM_MAX_LATE_WORTH = 0.3  # up to this late worth, a class's attempts end at the aim
 # Minimum throughput T of lane two, as fractions of its arrivals; the highest feasible one is used.
 LANE_TWO_FLOOR_FRACTIONS = tuple(n / 10 for n in range(9, 1, -1))
-# Bounds the growth of the remembered light-load latency at each threshold update: it doubles in some 2 s.
+# Largest growth of the remembered light-load latency at each threshold update; it doubles in some 2 s.
 LIGHT_LATENCY_MAX_GROWTH_FACTOR = 1.3
 MAX_SEARCH_THRESHOLD = 96  # largest value of either threshold; bounds the search (about 5 ms in CPython)
 
 # --- Constants: meter lag and the gateway's fraction of a customer's traffic ----------------------
 # The lag is the time from the end of a metered period until its use appears in answers.
 METER_LAG_STEP_MS = 100.0
-METER_LAG_STEP_COUNT = 30  # a meter that is later than this many steps is not followed
+METER_LAG_STEP_COUNT = 30  # longer lags are not considered
 INITIAL_METER_LAG_STEPS = 8  # assumed before any evidence
 TRAFFIC_FRACTION_RELATIVE_ERROR = 0.15  # error allowed for in the fraction of a customer's traffic
 # Weight of the initial lag: error added for each squared step away from it, in units of the normal
 # squared prediction error. Small, so that it only breaks ties.
 METER_LAG_PRIOR_WEIGHT = 0.1
-METER_PHASE_RETENTION_FACTOR = 0.95  # evidence on when readings change: kept at each change
-METER_LAG_RETENTION_FACTOR = 0.995  # lag errors: kept at each reading, so some hundred readings decide
+METER_PHASE_RETENTION_FACTOR = 0.95  # of earlier evidence on when readings change, at each change
+METER_LAG_RETENTION_FACTOR = 0.995  # of earlier lag errors, at each reading; some hundred readings decide
 SEND_HISTORY_MS = 10000.0  # minimum length of a customer's send history; exceeds the meter's lag
 TRAFFIC_FRACTION_PRIOR_UNITS = 8.0  # weight of an even spread over gateways against metered evidence
 # With a smaller part of the burst, the gateway's own sends say nothing about the token bucket's level.
@@ -68,12 +69,12 @@
 
 # --- Constants: admission share and token bucket of a customer ------------------------------------
 PRIOR_USE_RATE_FRACTION = 1.0  # use assumed before the first reading, as a fraction of the rate
-PRIOR_USE_WEIGHT_UNITS = 0.3
-READING_RETENTION_FACTOR = 0.5  # weight of earlier readings: kept at each new one
+PRIOR_USE_WEIGHT_UNITS = 0.3  # weight of this assumption against readings and own requests
+READING_RETENTION_FACTOR = 0.5  # of earlier readings, at each new one
 OTHERS_PRIOR_USE_RATE_FRACTION = 0.7  # use assumed for all other gateways together
+# Weight of this assumption against own sends, in units. It grows with the customer's gateways, because the
+# fraction of the traffic that one of many gateways sees is small and changes within seconds.
 OTHERS_PRIOR_MIN_WEIGHT_UNITS = 0.7
-# The weight grows with the customer's gateways: the fraction of traffic that one of many gateways sees is
-# small and changes within seconds.
 OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY = 0.1
 # A customer that was idle for so long, with full token buckets, has no state worth keeping.
 CUSTOMER_EXPIRY_MS = 40000.0
@@ -84,7 +85,8 @@
 MAX_CUSTOMER_COUNT = 5000
 USE_DECAY_MS = 20000.0  # time constant of the decay of readings and demand: customers change their habits
 MIN_ADMISSION_SHARE_DIVISOR = 0.05  # lower bound of the admission share that metered use is divided by
-TRAFFIC_FRACTION_RETENTION_FACTOR = 0.85  # kept at each metered period: traffic shifts within tens of seconds
+# Of earlier evidence on the traffic fraction, at each reading: traffic shifts within tens of seconds.
+TRAFFIC_FRACTION_RETENTION_FACTOR = 0.85
 # With more than this fraction of the burst left in the bucket, the admission share is not applied.
 UNCONDITIONAL_LEVEL_BURST_FRACTION = 0.25
 # Reserve for requests of more worth, as fractions of the burst. Each is multiplied by how far the request's
@@ -92,34 +94,35 @@
 BASE_RESERVE_BURST_FRACTION = 0.1
 OVER_QUOTA_RESERVE_BURST_FRACTION = 0.8  # also multiplied by the root of (1 - admission share)
 # Added to the latter for each gateway of the customer: with many gateways the admission share is a rough
-# estimate, and the reserve favours attempts of high worth.
+# estimate, and the reserve favours requests of high worth.
 OVER_QUOTA_RESERVE_BURST_FRACTION_PER_GATEWAY = 0.06
 MAX_BUCKET_DEBT_BURST_FRACTION = 1.0  # how far below empty the estimated level may fall
 
-# --- Constants: lost answers and late retries -----------------------------------------------------
-# Heavy answer loss: the fraction of attempts that time out exceeds this although answers come quickly.
+# --- Constants: lost answers and late client retries ----------------------------------------------
+# Heavy answer loss: more than this fraction of the attempts time out although answers come quickly.
 HEAVY_LOSS_MIN_ATTEMPT_FRACTION = 0.15
-# A timeout after less than this quantile of the answer times is no evidence of a lost answer. Fewer answers
-# take longer than the quantile than must be missing for a heavy loss.
+# A timeout after less than this quantile of the answer times is no evidence of a lost answer. The answers
+# beyond the quantile are fewer than the missing answers that make a heavy loss.
 ANSWER_LOSS_MIN_WAIT_QUANTILE = 0.9
 # Answers come quickly if three in four take less than this fraction of the tightest aim.
 FAST_ANSWER_AIM_FRACTION = 0.25
 # Total work of an attempt that timed out, as a multiple of the time waited for it: an attempt caught in long
 # work has on average as much of that work left as is done.
 TIMED_OUT_WORK_FACTOR = 2.0
-# Attempt timeouts, as fractions of the time left, that leave time for a retry of work that may be repeated.
+# While answers get lost, attempts that may be repeated time out after these fractions of the time left, which
+# leaves time for a retry.
 HEAVY_LOSS_ATTEMPT_TIME_FRACTION = 0.5
-LIGHT_LOSS_ATTEMPT_TIME_FRACTION = 0.65
-# With a larger fraction of recent answers late, timeouts are a sign of load, and retries would add to it.
+LIGHT_LOSS_ATTEMPT_TIME_FRACTION = 0.65  # while more answers are lost than late
+# With a larger fraction of the recent answers late, timeouts are a sign of load, and retries would add to it.
 LIGHT_LOSS_MAX_LATE_FRACTION = 0.01
 LIGHT_LOSS_MIN_TIMEOUT_RATIO = 0.02  # timeouts to answers; below this, hardly any answer is lost
-CLIENT_WAIT_SAMPLE_COUNT = 64  # latest requests of a class that the wait of first attempts is read from
+CLIENT_WAIT_SAMPLE_COUNT = 64  # latest requests of a class; show how long clients wait for first requests
 CLIENT_WAIT_BIN_MS = 8.0  # waits this close count as equal: a request loses some time on its way
-# Bins with at least this fraction of the most frequent bin's count hold waits of first attempts, too.
-FIRST_ATTEMPT_BIN_MIN_FRACTION = 0.7
-# A retry is late with less time left to its aim than the mean latency or this fraction of the aim,
-# whichever is less.
-LATE_RETRY_TIME_LEFT_AIM_FRACTION = 0.5
+# Bins with at least this fraction of the fullest bin's count also hold waits of first requests.
+FIRST_REQUEST_BIN_MIN_FRACTION = 0.7
+# A client's retry is late if the time left to its aim is less than both the mean latency and this fraction of
+# the aim.
+LATE_CLIENT_RETRY_TIME_LEFT_AIM_FRACTION = 0.5
 # With more than this fraction of the burst left in the bucket, a late retry takes nothing from others.
 AMPLE_LEVEL_BURST_FRACTION = 0.5
 
@@ -128,19 +131,20 @@
 OVERLOAD_SUSPECT_FRACTION = 0.6
 INITIAL_MEAN_LATENCY_MS = 200.0  # assumed before any observation
 TRIAL_BACKOFF_MS = 1000.0  # wait before a suspect's first trial; grows with each trial that fails
-TRIAL_BACKOFF_GROWTH_FACTOR = 2.0  # with few gateways; with more, times the root of their relative number
-TRIAL_BACKOFF_MAX_FACTOR = 8.0  # of the first wait, with few gateways; with more, in proportion
-FEW_GATEWAY_COUNT = 4  # a suspect can bear the trials of this many gateways together
-MAX_JITTER_FRACTION = 0.3  # added to a wait at most, as many gateways notice a lost server at once
+TRIAL_BACKOFF_GROWTH_FACTOR = 2.0  # times the root of `gateway_count_factor`
+TRIAL_BACKOFF_MAX_FACTOR = 8.0  # largest multiple of the first wait, times `gateway_count_factor`
+# Waits and cap margins are not scaled for up to this many gateways: a suspect can bear the trials of all.
+MAX_UNSCALED_GATEWAY_COUNT = 4
+MAX_JITTER_FRACTION = 0.3  # largest addition to a wait, as many gateways notice a lost server at once
 # Errors without a success in between that make a server suspect: a server that fails at once looks idle and
 # would draw all traffic.
 SUSPECT_ERROR_COUNT = 2
-REJECTION_AVOIDANCE_MS = 200.0  # a server that rejected a request is avoided so long; longer by many gateways
+REJECTION_AVOIDANCE_MS = 200.0  # a server is avoided so long after a rejection, times `gateway_count_factor`
 # A cold server's flow, as a multiple of its warm fraction of a warm server's flow: the warm fraction is the
 # least capacity that it can have.
 COLD_SERVER_FLOW_FACTOR = 1.2
-# Upper bound of a cold server's flow: this fraction of the cold rule's `tip_multiple`, times the server's
-# warm fraction of the mean flow to a server.
+# The cold rule bounds a cold server's flow to `tip_multiple` times its warm fraction of the mean flow to a
+# server. The flow is kept to this fraction of that bound.
 COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION = 0.6
 WARM_CAPACITY_UPDATE_INTERVAL_MS = 250.0
 FULL_UTILIZATION_LOAD_REQUESTS = 2.0  # outstanding requests that a reported utilization of 1 counts for
@@ -151,7 +155,7 @@
 PROMPT_ANSWER_VALIDITY_MS = LOAD_WINDOW_MS  # how long a prompt answer is evidence about its server
 # Advantage, in outstanding requests, of a server with a recent prompt answer: it decides between equals only.
 PROMPT_ANSWER_BONUS_REQUESTS = 0.5
-# Weight of a new report in the moving average of the load, which replaces a missing or old report.
+# Weight of a new report in the moving average of the load, which stands in for missing and old reports.
 MEAN_LOAD_SMOOTHING_FACTOR = 0.1
 ZONE_EJECTION_FAILURE_COUNT = 3  # failures without an answer in between; then a zone gets trials only
 LOAD_REPORT_VALIDITY_MS = 1500.0
@@ -224,10 +228,10 @@
 ) -> tuple[float, float] | None:
     """Return the (M1, M2) with the largest throughput of lane one, or None if no pair is feasible.
 
-    A threshold is infinite if its lane needs no cap. `rho1` and `rho2` are the utilizations by the lanes.
-    `max_sojourn` is S mu1, the bound on lane one's mean sojourn time in mean service times, and
-    `min_lane_two_fraction` is T / lambda2, the least throughput of lane two as a fraction of its arrivals:
-    the product form has no other units.
+    A threshold is infinite if its lane needs no cap. `rho1` and `rho2` are the lanes' utilizations, the
+    arrival rates times the mean service times. `max_sojourn` is S mu1, the bound on lane one's mean sojourn
+    time in mean service times, and `min_lane_two_fraction` is T / lambda2, the least throughput of lane two
+    as a fraction of its arrivals: the product form has no other units.
     """
     rho1, rho2 = max(rho1, 1e-9), max(rho2, 1e-9)
     if rho1 + rho2 < 1 and max_sojourn * (1 - rho1 - rho2) >= 1:
@@ -270,8 +274,8 @@
         )
         if m1 and throughput_fraction > best_throughput_fraction:
             best_thresholds, best_throughput_fraction = (m1, m2), throughput_fraction
-        # With growing m2, M1(m2) rises while the lane-two floor is the binding constraint and falls while S1
-        # is. Only where S1 is can M1(m2) have come down to its limit, so that the search is complete.
+        # As m2 grows, M1(m2) rises while the floor of lane two is the binding constraint, and falls while S1
+        # is. So only while S1 is binding can it have settled at its limit, and the search ends there.
         if sojourn_exceeded and m1 <= m1_without_m2_cap:
             break
     return best_thresholds
@@ -312,7 +316,10 @@
         self.phase_sine = self.phase_cosine = 0.0
 
     def record_change(self, previous_reading_ms: float, now_ms: float) -> None:
-        """Learn from a reading that changed between two answers: the meter published in between."""
+        """Learn from a reading that changed between two answers: the meter published in between.
+
+        The time of publication within the period is estimated by a decaying circular mean.
+        """
         if now_ms - previous_reading_ms < self.period_ms / 4:
             angle = math.tau * ((previous_reading_ms + now_ms) / 2 % self.period_ms) / self.period_ms
             self.phase_sine = METER_PHASE_RETENTION_FACTOR * self.phase_sine + math.sin(angle)
@@ -334,8 +341,8 @@
 
         The own sends are divided by the gateway's fraction of the customer's traffic. Each squared error is
         divided by its expected value, given binomially distributed own sends and an inexact fraction.
-        Otherwise the few largest customers would decide, by noise. This is worse where only large customers
-        are steady.
+        Otherwise the few largest customers would decide, by noise. The drawback: the result is worse where
+        only the large customers send steadily.
         """
         changed_ms, traffic_fraction = self.last_change_ms(now_ms), customer.traffic_fraction()
         expected_squared_error = (
@@ -523,6 +530,7 @@
             return
         if usage_percent != self.usage_percent and self.usage_percent is not None:
             meter_clock.record_change(previous_received_ms, now_ms)
+        # The use was metered under this admission share; the demand was larger by its inverse.
         share_in_effect, previous_applied_ms = (
             max(MIN_ADMISSION_SHARE_DIVISOR, self.admission_share(now_ms)),
             self.reading_applied_ms,
@@ -581,10 +589,10 @@
         """Return the units that a request must leave in the bucket for requests of more worth.
 
         `relative_worth` is the request's worth as a fraction of the highest worth of a class. What a
-        customer requests beyond its quota is refused in any case; the reserve makes this the requests of
-        less worth. It is also a safety margin for the estimated level. The drawback: a customer that sends
-        only requests of low worth cannot use the reserved part of its burst and, when beyond its quota, a
-        little of its rate.
+        customer requests beyond its quota is refused in any case; with the reserve, the refused requests are
+        those of less worth. The reserve is also a safety margin for the estimated level. The drawback: a
+        customer that sends only requests of low worth cannot use the reserved part of its burst and, when
+        beyond its quota, a little of its rate.
         """
         over_quota_fraction = (
             OVER_QUOTA_RESERVE_BURST_FRACTION
@@ -645,12 +653,12 @@
     first_listed_ms: float
     outstanding_count: int = 0
     last_answer_ms: float = -INF
-    prompt_answer_ms: float = -INF  # time of a prompt answer, unless an attempt ended otherwise since
+    prompt_answer_ms: float = -INF  # reset when an attempt ends without a prompt answer
     suspect: bool = False
     next_trial_ms: float = 0.0
-    backoff_exponent: int = 0
+    backoff_exponent: int = 0  # of the waits between trials
     consecutive_errors: int = 0  # since its last success
-    avoid_until_ms: float = -INF
+    avoid_until_ms: float = -INF  # after a rejection
     reported_load: float = 0.0
     load_reported_ms: float = -INF
     slow_start_tokens: float = 0.0
@@ -671,7 +679,7 @@
         self.mean_latency_ms = INITIAL_MEAN_LATENCY_MS
         self.mean_reported_load = 0.0
         self.warm_capacity, self.warm_capacity_updated_ms = 1.0, -INF
-        self.gateway_count_factor = max(1.0, settings.gateway_count / FEW_GATEWAY_COUNT)
+        self.gateway_count_factor = max(1.0, settings.gateway_count / MAX_UNSCALED_GATEWAY_COUNT)
         # Arrival times of the requests that quota and lane cap admitted, sent or not.
         self.admitted_times_ms: deque[float] = deque()
 
@@ -738,6 +746,7 @@
         self.trim_admitted_times(now_ms)
         server_count = max(1, len(self.ready_servers))
         max_flow_factor = max(1.0, COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * self.settings.tip_multiple)
+        # Requests per ms to a server with a warm fraction of 1, as far as the cold rule allows.
         warm_flow_per_ms = (
             len(self.admitted_times_ms)
             / LOAD_WINDOW_MS
@@ -770,8 +779,12 @@
         while self.admitted_times_ms and self.admitted_times_ms[0] < now_ms - LOAD_WINDOW_MS:
             self.admitted_times_ms.popleft()
 
-    def usable(self, server: TrackedServer, now_ms: float) -> bool:
-        """Return whether the drain and cold rules allow a new attempt at this server."""
+    def accepts_attempt(self, server: TrackedServer, now_ms: float) -> bool:
+        """Return whether the drain and cold rules allow a new attempt at this server.
+
+        Only servers in state READY get attempts, and cold ones only with a slow start token and with few
+        outstanding attempts.
+        """
         if server.entry.state is not ServerState.READY:
             return False
         warm_fraction = self.warm_fraction(server, now_ms)
@@ -834,10 +847,11 @@
     ) -> TrackedServer | None:
         """Return the server of least cost in a random sample, or None if none is allowed.
 
-        Sampling avoids herding; without a suitable server in the sample, all are considered.
+        Sampling avoids herding. All servers are considered if each one in the sample is avoided, not allowed
+        or in `tried_ids`.
 
         An avoided server is chosen only if no other is left, and not at all unless `allow_avoided`. Of the
-        avoided servers the one whose avoidance ends first is chosen. By cost, all gateways would choose the
+        avoided servers, the one whose avoidance ends first is chosen. By cost, all gateways would choose the
         same few servers, which look idle because they reject every request.
         """
 
@@ -853,7 +867,7 @@
             ranked_servers = [
                 (rank(server), server)
                 for server in candidates
-                if self.usable(server, now_ms) and is_allowed(server)
+                if self.accepts_attempt(server, now_ms) and is_allowed(server)
             ]
             best = min(ranked_servers, key=lambda ranked_server: ranked_server[0], default=None)
             if best and best[0][0] <= now_ms and not best[0][1]:
@@ -979,7 +993,8 @@
 class Request:
     """A request that has no final answer yet, or still has outstanding attempts.
 
-    `streaming` tells that the client has received the first part of a streamed answer.
+    `open` tells that the request has no final answer yet, and `streaming` that the client has received the
+    first part of a streamed answer.
     """
 
     arrival: api.RequestArrived
@@ -996,7 +1011,8 @@
         return sum(1 for attempt in self.attempts if attempt.is_outstanding)
 
 
-NEVER_RAN = (CallStatus.REJECTED, CallStatus.CONNECT_FAILED, CallStatus.NOT_SENT)
+# After an attempt that ended like this, the request has certainly not run.
+NEVER_RUN_STATUSES = (CallStatus.REJECTED, CallStatus.CONNECT_FAILED, CallStatus.NOT_SENT)
 
 
 def split_lanes(classes: tuple[api.RequestClass, ...]) -> list[int]:
@@ -1111,7 +1127,7 @@
         self.customers[event.customer_id] = customer  # at the end of the order of last requests
         # If a late answer is worth little, work past the aim is wasted and adds to an overload.
         ends_at_aim = (
-            request_class.late_worth <= LOW_LATE_WORTH
+            request_class.late_worth <= END_AT_AIM_MAX_LATE_WORTH
             and request_class.aim_stretch <= 0
             and not request_class.stream
         )
@@ -1124,10 +1140,10 @@
         self.requests[event.request_id] = request
         if (
             ends_at_aim
-            and self._is_late_retry(now_ms, event)
+            and self._is_late_client_retry(now_ms, event)
             and not customer.has_ample_units(now_ms, event.units)
         ):
-            self._finish_unanswered(now_ms, request)
+            self._refuse_or_fail(now_ms, request)
         elif customer.admits(
             now_ms, event.units, self.rng.random(), request_class.worth / self.max_class_worth
         ):
@@ -1136,7 +1152,7 @@
                 self.fleet.admitted_times_ms.append(now_ms)
                 if self._send_attempt(now_ms, request, set()):
                     return
-        self._finish_unanswered(now_ms, request)
+        self._refuse_or_fail(now_ms, request)
 
     def _lane_admits(self, now_ms: float, request: Request) -> bool:
         """Return whether the lane has headroom for an answer to the request, not only for an attempt.
@@ -1144,8 +1160,8 @@
         If an attempt is answered in time with probability p, an answer takes 1/p attempts, and the work on
         the others is wasted. A request whose client waits only briefly therefore needs headroom for 1/p
         attempts; in a lane near its cap it is refused in favour of requests that the same work would answer.
-        Headroom of less than one request admits with that probability, which mixes the two integer
-        thresholds next to the cap.
+        Headroom for a fraction of a request admits with that fraction as probability, which mixes the two
+        integer thresholds next to the cap.
         """
         expected_attempts = 1.0 / self.answer_time_distributions[
             request.arrival.class_index
@@ -1158,8 +1174,8 @@
         The standard deviation of a count is about its square root. Each of a few gateways may exceed its own
         threshold by a multiple of that root, each of many by less, as fluctuations of different gateways
         cancel out. While the lane's mean count is below the threshold, the full margin applies, which lets
-        fluctuations pass. Otherwise many gateways with small thresholds would have margins larger than all
-        thresholds.
+        fluctuations pass. If it always applied, the margins of many gateways with small thresholds would add
+        up to more than all thresholds.
         """
         cap, mean_slots = self.lane_caps[lane], self.mean_occupied_slots[lane]
         if cap == INF:
@@ -1168,16 +1184,14 @@
         margin_factor = 1.0 if mean_slots < cap else many_gateways_factor
         return cap + CAP_MARGIN_STDDEVS * math.sqrt(cap) * margin_factor - self.occupied_slots[lane]
 
-    def _is_late_retry(self, now_ms: float, event: api.RequestArrived) -> bool:
+    def _is_late_client_retry(self, now_ms: float, event: api.RequestArrived) -> bool:
         """Return whether this is a client's retry that comes too late for an answer within the aim.
 
-        The aim is counted from the client's first attempt.
-
-        No client waits past the end of its request. So an attempt with a shorter wait than first attempts is
-        a retry, and the time by which its wait is shorter than the class's deadline has already passed. A
-        request that was delayed on its way looks the same. The drawback: clients whose first attempts wait
-        for less time than those of others are taken for retries, and get only what the customer's bucket has
-        to spare.
+        The aim is counted from the client's first request. No client waits past the deadline of that
+        request. So a request with a shorter wait than first requests is a retry, and the time by which its
+        wait is shorter than the class's deadline has already passed. A request that was delayed on its way
+        looks the same. The drawback: first requests of clients that wait for less time than others are taken
+        for retries, and get only what the customer's bucket has to spare.
         """
         request_class, waits_ms, wait_ms = (
             self.settings.classes[event.class_index],
@@ -1188,16 +1202,18 @@
         time_left_ms = request_class.aim_ms - (request_class.deadline_ms - wait_ms)
         if (
             time_left_ms
-            >= min(self.fleet.mean_latency_ms, LATE_RETRY_TIME_LEFT_AIM_FRACTION * request_class.aim_ms)
+            >= min(
+                self.fleet.mean_latency_ms, LATE_CLIENT_RETRY_TIME_LEFT_AIM_FRACTION * request_class.aim_ms
+            )
             or len(waits_ms) < MIN_OBSERVATION_COUNT
         ):
             return False
-        # First attempts have similar waits, and retries wait for the rest of that time. The last retry of a
-        # request may wait for longer, as nothing follows it.
+        # First requests have similar waits, and retries wait for the rest of that time. A client's last retry
+        # may wait for longer.
         bin_counts = Counter(round(sample_ms / CLIENT_WAIT_BIN_MS) for sample_ms in waits_ms)
-        min_count = FIRST_ATTEMPT_BIN_MIN_FRACTION * max(bin_counts.values())
-        first_attempt_bin = min(wait_bin for wait_bin, count in bin_counts.items() if count >= min_count)
-        return wait_ms < (first_attempt_bin - 1) * CLIENT_WAIT_BIN_MS
+        min_count = FIRST_REQUEST_BIN_MIN_FRACTION * max(bin_counts.values())
+        first_request_bin = min(wait_bin for wait_bin, count in bin_counts.items() if count >= min_count)
+        return wait_ms < (first_request_bin - 1) * CLIENT_WAIT_BIN_MS
 
     def _may_send_to(self, request: Request, server: TrackedServer, now_ms: float) -> bool:
         """Return whether the rules on repeated execution allow an attempt at this server."""
@@ -1263,6 +1279,7 @@
         if is_first_attempt:
             request.customer.record_send(now_ms, arrival.units)
         attempt_deadline_ms = request.useful_until_ms
+        # Less than 1 leaves time for a retry while answers get lost.
         time_fraction = (
             HEAVY_LOSS_ATTEMPT_TIME_FRACTION
             if self.heavy_answer_loss
@@ -1278,10 +1295,10 @@
         self.actions.append(api.Send(arrival.request_id, server.entry.id, attempt_deadline_ms))
         return True
 
-    def _finish_unanswered(self, now_ms: float, request: Request) -> None:
-        """End a request without an answer; no other method does.
+    def _refuse_or_fail(self, now_ms: float, request: Request) -> None:
+        """Refuse the request if a client's retry is surely harmless, else fail it.
 
-        The request is refused if a retry by the client is surely harmless, else failed.
+        No other method refuses or fails a request.
         """
         if not request.open or request.streaming:
             return
@@ -1352,11 +1369,12 @@
         if request is None or not (attempt := request.attempts[event.attempt_number]).is_outstanding:
             return
         attempt.is_outstanding = False
-        attempt.may_have_run = event.status not in NEVER_RAN
+        attempt.may_have_run = event.status not in NEVER_RUN_STATUSES
         request.customer.outstanding_count -= 1
         if event.status is CallStatus.TIMEOUT and not was_suspect and not self.heavy_answer_loss:
-            # The server still works on a timed-out attempt or has yet to begin with it. So the attempt's slot
-            # stays occupied: as long as the attempt was waited for, and at least for the mean latency.
+            # The server still works on a timed-out attempt or has yet to begin, and the shorter the wait was,
+            # the more of the work is left. So the slot stays occupied for as long again as the wait, and at
+            # least for the mean latency.
             remaining_ms = max((TIMED_OUT_WORK_FACTOR - 1.0) * event.elapsed_ms, self.fleet.mean_latency_ms)
             heapq.heappush(self.timed_out_slots, (now_ms + remaining_ms, request.lane))
         else:
@@ -1384,7 +1402,7 @@
         elif request.open and not request.outstanding_count():
             tried_ids = {earlier_attempt.server_entry.id for earlier_attempt in request.attempts}
             if event.status is CallStatus.NOT_SENT or not self._send_attempt(now_ms, request, tried_ids):
-                self._finish_unanswered(now_ms, request)
+                self._refuse_or_fail(now_ms, request)
         self._remove_if_finished(request)
 
     def _update_light_load_latency(
@@ -1431,9 +1449,9 @@
             if lane == 0
         )
         # Timeouts are taken for lost answers, not for overload, if the other answers come quickly. Lost
-        # answers are no load and worth a retry; the same holds for vanished servers. The drawback: in an
-        # overload where only one class times out, the retries add to it. An attempt that timed out before
-        # most answers arrive is evidence of neither.
+        # answers are no sign of load and are worth a retry; the same holds for vanished servers. The
+        # drawback: in an overload where only one class times out, the retries add to it. A timeout after a
+        # wait in which most answers would not have come is evidence of neither.
         timed_out = self.latency_window.censored_observations()
         answer_times_ms = sorted(
             observed.elapsed_ms for observed in self.latency_window.answered_observations()
@@ -1455,6 +1473,7 @@
             self.heavy_answer_loss,
             no_rejections and many_lost and answers_are_fast,
         )
+        # An answer counts as late if an attempt with the timeout for light losses would have missed it.
         late_count = sum(
             1
             for elapsed_ms in answer_times_ms
@@ -1505,6 +1524,7 @@
         light_latency_ms = [
             self._update_light_load_latency(index, lane) for index, lane in enumerate(weighted_by_lane)
         ]
+        # In the queueing model, the mean latency is the light-load latency divided by (1 - utilization).
         utilization = 1.0 - self._update_light_load_latency(2, weighted_total) / self.fleet.mean_latency_ms
         arrival_counts = [
             sum(1 for _, lane, _ in self.admitted_arrivals if lane == index) for index in (0, 1)
@@ -1513,6 +1533,7 @@
         if utilization <= 0 or sum(work_by_lane) <= 0 or light_latency_ms[0] <= 0:
             return
         rho = [utilization * lane_work / sum(work_by_lane) for lane_work in work_by_lane]
+        # The first feasible pair is the one for the highest floor of lane two.
         candidates = (
             optimal_thresholds(
                 rho[0],
@@ -1527,6 +1548,8 @@
             return
         # Corrects the moving average for its start at 0, which would keep it and the caps low for seconds.
         averaged_fraction = 1.0 - math.exp((self.first_request_ms - now_ms) / LOAD_WINDOW_MS)
+        # The model holds utilization / (1 - utilization) requests on average. Its thresholds are scaled by
+        # the ratio of the requests that really occupy slots to these.
         requests_per_model_request = max(
             1e-3, sum(self.mean_occupied_slots) / averaged_fraction * (1.0 - utilization) / utilization
         )
