--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -225,11 +225,11 @@
             ) as fixture:
                 await agent.watch_queries.get()
                 fleet = fixture.limiter._gateway.fleet
-                original = fleet.peers[0]
+                original = fleet.servers[0]
                 for seq in range(2, 50):
                     agent.send_line(host_list(seq, host_entry("a", "127.0.0.1:1", born_ms=born_ms)))
                 await wait_until(lambda: fixture.watch.seq == 49)
-                assert fleet.peers[0] is original
+                assert fleet.servers[0] is original
                 assert 2500 < fixture.limiter._now_ms() - original.entry.started_ms < 30_000
 
     run(test())
@@ -323,12 +323,12 @@
                         agent.send_line(host_list(index + 1, new_host, left_host, whole=False))
                     await wait_until(lambda index=index: fixture.watch.seq == index + 1)  # type: ignore[misc]
                     assert len(fixture.limiter._server_ids) == len(fixture.limiter._servers._servers) == 1
-                    assert len(fleet.peers) == 2  # the other has an outstanding attempt
+                    assert len(fleet.servers) == 2  # the other has an outstanding attempt
                     seen_ids |= set(fixture.limiter._server_ids.values())
                 assert len(seen_ids) == 199
                 await echo(held_request)
                 assert (await client.read_response()).body == b"held"
-                assert len(fleet.peers) == 1
+                assert len(fleet.servers) == 1
 
     run(test())
 
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -510,14 +510,14 @@
                 await wait_until(lambda: not gateway.requests and not fixture.limiter._requests)
                 await wait_until(lambda: not servers._connect_tasks)
                 # An abandoned attempt may still run at its server, and holds a slot of its lane meanwhile.
-                slots = Counter(lane for _, lane in gateway.running)
-                assert gateway.count == [slots[0], slots[1]]
+                slots = Counter(lane for _, lane in gateway.timed_out_slots)
+                assert gateway.occupied_slots == [slots[0], slots[1]]
                 assert (fixture.limiter.open_request_count, fixture.limiter._open_client_request_ids) == (
                     0,
                     set(),
                 )
-                assert all(customer.out == 0 for customer in gateway.customers.values())
-                assert [peer.waiting for peer in gateway.fleet.peers.values()] == [0]
+                assert all(customer.outstanding_count == 0 for customer in gateway.customers.values())
+                assert [peer.outstanding_count for peer in gateway.fleet.servers.values()] == [0]
                 servers.close()
                 await wait_until(lambda: servers._open_connection_count == 0)
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -112,7 +112,7 @@
                         agent.send_line(host_list(n + 2, entry, whole=False))
                 await wait_until(lambda: fixture.watch.seq == FLEET_SIZE + 1)
                 assert (
-                    len(fixture.limiter._gateway.fleet.ready)
+                    len(fixture.limiter._gateway.fleet.ready_servers)
                     == len(fixture.limiter._server_ids)
                     == FLEET_SIZE
                 )
@@ -121,7 +121,7 @@
                 client = await fixture.connect()
                 assert (await client.request(build_request("fix", "only"))).status_code == 200
                 assert (
-                    len(fixture.limiter._servers._servers) == len(fixture.limiter._gateway.fleet.peers) == 1
+                    len(fixture.limiter._servers._servers) == len(fixture.limiter._gateway.fleet.servers) == 1
                 )
 
     run(test())
@@ -143,7 +143,7 @@
             fixture.apply_server_list(1.0, make_server(n))
     finally:
         sys.settrace(previous_trace)
-    assert len(fixture.gateway.fleet.ready) == change_count
+    assert len(fixture.gateway.fleet.ready_servers) == change_count
     return line_count
 
 
@@ -193,7 +193,7 @@
                     settings=VALID_CONFIG["settings"],
                 ) as fixture,
             ):
-                assert len(fixture.limiter._gateway.fleet.ready) == FLEET_SIZE + 1
+                assert len(fixture.limiter._gateway.fleet.ready_servers) == FLEET_SIZE + 1
                 parsed_terms = fixture.clients.validator._parse_call_terms(call_terms.encode())
                 assert parsed_terms == (1.0, FLEET_SIZE)
 
