--- a/ironstage/interface.py
+++ b/ironstage/interface.py
@@ -1,7 +1,8 @@
 """The interface of the decision module: settings, events and actions.
 
 Fields that end in `_ms` are milliseconds; points in time are on the caller's clock.
-Nothing here depends on a wire format or makes a decision: `ironstage.policy` decides.
+Nothing here depends on a wire format or makes a decision: `ironstage.policy` decides. Some settings, events
+and actions stem from the simulator's protocol; the decision module does not use them.
 """
 
 from __future__ import annotations
@@ -19,7 +20,10 @@
 
 
 class DedupScope(Enum):
-    """Which servers recognise and discard the repeats of a deduplicated request."""
+    """Which servers recognise and discard the repeats of a deduplicated request.
+
+    These are all servers, or those in the same zone or cell as the server of the earlier attempt.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -29,8 +33,10 @@
 class CallStatus(Enum):
     """How an attempt, probe or counter call ended.
 
-    REJECTED: the server turned the request away without running it. NOT_SENT: the caller dropped the
-    attempt, because the request had already ended, was past its deadline or had no attempts left.
+    ERROR: the server's answer is an error or invalid. REJECTED: the server declined the request without
+    running it. CONNECT_FAILED: the server did not get the whole request. RESET: the connection broke after
+    the request was sent. NOT_SENT: the attempt was not sent, because the request had already ended, was past
+    its deadline or had no attempts left.
     """
 
     OK = "ok"
@@ -44,7 +50,7 @@
 
 
 class ServerState(Enum):
-    """A server's state as reported by service discovery."""
+    """A server's state as reported by service discovery; only READY servers get new attempts."""
 
     GONE = "gone"
     READY = "ready"
@@ -52,7 +58,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event holds: changes only, a complete list, a stored list or no list."""
+    """What a server list event holds: changes only, a complete list, a stored complete list or no list."""
 
     DELTA = "delta"
     FULL = "full"
@@ -64,10 +70,15 @@
 class RequestClass:
     """A class of requests.
 
-    `aim_ms` is the latency target and `deadline_ms` the longest wait for an answer; `aim_stretch`
-    lengthens the target in proportion to the request's own work. A deduplicated request may be repeated
-    within `window_ms` of its first attempt. `worth` is the value of an answer within the target, and
-    `late_worth` that of a later one.
+    `aim_ms` is the aim, the latency within which an answer should come, and `deadline_ms` the longest that
+    a client waits for it. `aim_stretch` lengthens the aim by the request's own work; the decision module
+    only checks whether it is above 0. `worth` is the value of an answer within the aim, relative to other
+    classes, and `late_worth` that of a later answer. `stream` tells that answers are streamed. If
+    `late_worth` is low, `aim_stretch` is 0 and answers are not streamed, attempts end at the aim instead of
+    the deadline.
+
+    Servers in the `dedup_scope` recognise the repeats of a deduplicated request for `window_ms`, counted
+    from the first attempt that may have run. `name` is the name of the class in HTTP requests.
     """
 
     aim_ms: float
@@ -86,8 +97,11 @@
 class Plan:
     """A quota: a token bucket of `burst` units refilled at `rate` units a second, with further caps.
 
-    `parallel` caps the customer's concurrent attempts (0: no cap). `ceiling_rate` (units a second, 0: no
-    ceiling) and `ceiling_depth` (units) describe a second token bucket that must never be exceeded.
+    If `rate` is 0, the quota limits a customer by its metered use alone, without a token bucket. `parallel`
+    caps the customer's outstanding attempts at all gateways together (0: no cap). `ceiling_rate` (units a
+    second, 0: no ceiling) and `ceiling_depth` (units) describe a second token bucket that must never be
+    exceeded. `name` is the name of the plan in HTTP requests. `ceiling_slack`, `over_worth` and `over_cost`
+    are not used by this program.
     """
 
     rate: float
@@ -105,9 +119,26 @@
 class Settings:
     """The settings that a gateway gets at its start.
 
-    `gateway_id` is this gateway's own number and `gateway_count` the number of all gateways. The meter
-    publishes a customer's use once in `metering_ms` (0: no meter). `max_retry_after_ms` bounds the
-    advice given with a refusal (0: no advice).
+    `gateway_id` is this gateway's own number and `gateway_count` the number of all gateways.
+
+    A server that started recently is cold. It has at least a fraction of its full capacity, the warm
+    fraction, which grows linearly from `cold_from` at its start to 1 after `cold_ms` (0: no server is cold).
+    A cold server may get at most `tip_multiple` times its warm fraction of the mean request rate to a server.
+
+    The meter publishes a customer's use once in `metering_ms` (0: no meter). If `post_paid`, the
+    `charged_units` of a successful first attempt replace the request's `units` in the estimated level of the
+    customer's token bucket.
+
+    A request gets at most `max_attempts` attempts, including the first. `second_copies` allows an attempt
+    while another one is outstanding (hedging), but the decision module only retries after all have ended.
+    `may_cancel` allows cancelling the outstanding attempts of a request that has its final answer or lost
+    its client. `max_retry_after_ms` bounds the advice given with a refusal (0: no advice).
+
+    `must_subscribe` tells that a gateway gets changes of the server list by subscription; otherwise they are
+    pushed to it. `report_fields` names the values of a load report, in their order.
+
+    `zone` (the gateway's own), `fall_ms`, `drain_grace_ms`, `ask_within_ms` and `may_probe` are not used by
+    this program.
     """
 
     gateway_id: int
@@ -137,7 +168,8 @@
 class Server:
     """An entry of the server list.
 
-    `relative_capacity` is a factor without unit; `started_ms` is 0 for a server that started long ago.
+    `zone` and `cell` are the numbers of the server's zone and cell, to which deduplication may be limited.
+    `relative_capacity` is a factor without unit. `started_ms` is 0 for a server that started long ago.
     """
 
     id: int
@@ -160,8 +192,8 @@
 class RequestArrived:
     """Event: a client sent a request, which gets exactly one final answer by `deadline_ms`.
 
-    `class_index` and `plan_index` are positions in the settings. `customer_gateway_count` is the number
-    of gateways that the customer's requests are spread over.
+    `class_index` and `plan_index` are positions in the settings. `units` are the quota units of the request,
+    and `customer_gateway_count` is the number of gateways that the customer's requests are spread over.
     """
 
     request_id: int
@@ -177,9 +209,10 @@
 class AttemptEnded:
     """Event: an attempt ended, `elapsed_ms` after it was sent.
 
-    `request_closed` tells that the request has its final answer or lost its client. `usage_percent` is
-    the customer's metered use in percent of its rate, or None without a reading. `charged_units` are the
-    units that the server charged (0: not told). `load_report` follows the settings' `report_fields`.
+    `attempt_number` counts the attempts of a request from 0. `request_closed` tells that the request has its
+    final answer or lost its client. `usage_percent` is the customer's metered use in percent of its rate, or
+    None without a reading. `charged_units` are the units that the server charged (0: unknown). `load_report`
+    holds the values of the settings' `report_fields`, and is empty without a report.
     """
 
     request_id: int
@@ -218,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProbeResult:
-    """Event: a health probe of a server ended; `load_report` follows the settings' `report_fields`."""
+    """Event: a health probe of a server ended; `load_report` has the form of that in `AttemptEnded`."""
 
     server_id: int
     status: CallStatus
--- a/ironstage/latency.py
+++ b/ironstage/latency.py
@@ -1,11 +1,11 @@
-"""Latency statistics over a moving window, with attempts that timed out as censored observations.
-
-The latency of an attempt that was abandoned before its answer is only known to exceed the time it was waited
-for. Counting it as an answer after that time biases the estimate low when clients have short deadlines: an
-overloaded back end then looks fast, and its lane caps are lifted. The weight of a censored observation is
-therefore redistributed to the right, to the observations that took longer (Kaplan-Meier estimate). Where
-every timeout happens at the latency aim (`aimMs`), the result is the plain sample with the timeouts at the
-aim.
+"""Latency statistics over a moving window, with unanswered attempts as censored observations.
+
+The latency of an attempt that timed out or is still outstanding is only known to exceed the time elapsed so
+far. Counting that time as a latency biases the estimate low when clients have short deadlines: an overloaded
+back end then looks fast, and its lane caps are lifted. The weight of a censored observation is therefore
+redistributed to the right, to the observations that took longer (Kaplan-Meier estimate). Where every timeout
+happens at the latency aim (`aimMs`), the result is the unweighted sample, with each timeout as a latency of
+the aim.
 """
 
 from __future__ import annotations
@@ -15,11 +15,15 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-PRIOR_ANSWERED_COUNT = 3.0  # assumed before any observation, so that no class is ever shut out
+# Attempts assumed to be answered in time before any observation, so that no class is ever shut out.
+PRIOR_ANSWERED_COUNT = 3.0
 
 
 class LatencyObservation(NamedTuple):
-    """Elapsed time of one attempt, in milliseconds; censored if the attempt had no answer by `ended_ms`."""
+    """Elapsed time of one attempt, in milliseconds; censored if the attempt had no answer by `ended_ms`.
+
+    For an attempt that is still outstanding, `ended_ms` is the time of the observation.
+    """
 
     ended_ms: float
     class_index: int
@@ -45,7 +49,10 @@
 
 
 def weighted_mean_ms(weighted_observations: list[tuple[float, float, bool]]) -> float:
-    """Return the mean latency, restricted to the longest elapsed time; 0 without observations."""
+    """Return the restricted mean of the latency; 0 without observations.
+
+    Latencies beyond the longest elapsed time count as that time, as nothing is known about them.
+    """
     total_weight = sum(weight for _, weight, _ in weighted_observations)
     return (
         sum(elapsed_ms * weight for elapsed_ms, weight, _ in weighted_observations) / total_weight
@@ -88,7 +95,7 @@
         self._unanswered_fraction = max(0.0, 1.0 - answered_weight / total_weight)
 
     def probability_within(self, wait_ms: float) -> float:
-        """Return the probability that an attempt is answered within `wait_ms`.
+        """Return the probability that an attempt is answered within `wait_ms`; 1 without observations.
 
         Beyond the longest observed time the distribution is extrapolated with a constant hazard rate, the
         mean rate up to that time, because attempts that are unanswered by then may still be answered later.
@@ -122,7 +129,10 @@
         self.observations.append(observation)
 
     def trim(self, now_ms: float) -> None:
-        """Remove expired observations."""
+        """Remove expired observations, the oldest first.
+
+        They expire after `window_ms`, or after `max_age_ms` while no more than `min_count` are left.
+        """
         observations = self.observations
         while observations and observations[0].ended_ms < now_ms - (
             self._window_ms if len(observations) > self._min_count else self._max_age_ms
--- a/ironstage/simulator_adapter.py
+++ b/ironstage/simulator_adapter.py
@@ -26,7 +26,7 @@
 
         Actions keep the order of the records that caused them. If a gateway raises an exception, the rest
         of the batch is skipped and the reply holds an internal error in place of all actions.
-        `ProtocolError` is raised to the caller.
+        Raises `ProtocolError` if the batch violates the protocol.
         """
         records = simulator_protocol.decode_batch(record_count, body)
         groups: list[tuple[int, list[api.Action]]] = []
@@ -47,6 +47,7 @@
         return simulator_protocol.encode_reply(groups)
 
     def _handle(self, instance: int, now_ms: float, record: simulator_protocol.Record) -> list[api.Action]:
+        """Start or stop an instance, or pass an event to it and return the actions."""
         if isinstance(record, simulator_protocol.StartInstance):
             self._gateways[instance] = Gateway(record.settings, record.seed)
             return []
@@ -59,7 +60,10 @@
 
 
 def read_frame(stream: BinaryIO) -> tuple[float, int, bytes] | None:
-    """Read a batch frame: its time in ms, record count and body, or None at a clean end of input."""
+    """Read a batch frame: its time in ms, record count and body, or None at a clean end of input.
+
+    Raises `ProtocolError` if the input ends inside a frame.
+    """
     header = stream.read(simulator_protocol.BATCH_HEADER.size)
     if not header:
         return None
@@ -75,7 +79,7 @@
 
 
 def main() -> int:
-    """Answer batches until the input ends; returns the exit status, 2 after a protocol error."""
+    """Answer batches until the input ends, and return the exit status: 0, or 2 after a protocol error."""
     instances, source, sink = GatewayInstances(), sys.stdin.buffer, sys.stdout.buffer
     frame_index = 0
     try:
--- a/ironstage/simulator_protocol.py
+++ b/ironstage/simulator_protocol.py
@@ -24,7 +24,8 @@
 class ProtocolError(ValueError):
     """Input that violates the protocol: a malformed frame or invalid settings.
 
-    The message names the fault and its place: a byte offset, a record or the path of a settings key.
+    The message names the fault and, where it is known, the place: a byte offset, a record, a server or the
+    path of a settings key.
     """
 
 
@@ -108,7 +109,7 @@
 
 
 def _big_endian(fields: str) -> struct.Struct:
-    """A layout without padding from `struct` format characters."""
+    """Return a layout without padding, given its `struct` format characters."""
     return struct.Struct(">" + fields)
 
 
@@ -282,7 +283,7 @@
 
 
 def _encode_text(code: int, text: str) -> bytes:
-    """A text record; the text is cut to the 65535 bytes that its length field can count."""
+    """Encode a record that holds a text, cut to the 65535 bytes that its length field can count."""
     text_bytes = text.encode()[:0xFFFF]
     return _TEXT_HEADER.pack(code, len(text_bytes)) + text_bytes
 
@@ -345,20 +346,20 @@
         return f"{self.path}.{key}" if self.path else key
 
     def get_object(self, key: str) -> _SettingsObject:
-        """The object under a required key."""
+        """Return the object under a required key."""
         if key not in self.raw:
             raise ProtocolError(f"settings: {self._key_path(key)} is missing")
         return _SettingsObject(self.raw[key], self._key_path(key))
 
     def get_objects(self, key: str) -> list[_SettingsObject]:
-        """The list of objects under a required key."""
+        """Return the list of objects under a required key."""
         items = self.raw.get(key)
         if not isinstance(items, list):
             raise ProtocolError(f"settings: {self._key_path(key)} is missing or not a list")
         return [_SettingsObject(item, f"{self._key_path(key)}[{i}]") for i, item in enumerate(items)]
 
     def get_number(self, key: str, default: float | None = None, minimum: float = 0.0) -> float:
-        """A number from `minimum` up to, but not including, `SETTING_VALUE_LIMIT`.
+        """Return a number from `minimum` up to, but not including, `SETTING_VALUE_LIMIT`.
 
         The key is required if `default` is None.
         """
@@ -373,14 +374,14 @@
         return float(value)
 
     def get_bool(self, key: str) -> bool:
-        """A boolean; a missing key is False."""
+        """Return a boolean, False if the key is missing."""
         value = self.raw.get(key, False)
         if not isinstance(value, bool):
             raise ProtocolError(f"settings: {self._key_path(key)} is not a boolean")
         return value
 
     def get_string(self, key: str, default: str | None = None) -> str:
-        """A string; the key is required if `default` is None."""
+        """Return a string; the key is required if `default` is None."""
         value = self.raw.get(key, default)
         if not isinstance(value, str):
             raise ProtocolError(f"settings: {self._key_path(key)} is missing or not a string")
@@ -422,7 +423,7 @@
 
 
 def _parse_report_fields(report: _SettingsObject) -> tuple[str, ...]:
-    """The load reports' names of the fields; a name without a translation is taken as it is."""
+    """Return the names that the fields have in load reports; a name without a translation stays as it is."""
     names = report.raw.get("fields", [])
     if not isinstance(names, list):
         raise ProtocolError("settings: report.fields is not a list")
@@ -432,7 +433,7 @@
 def parse_settings(text: bytes) -> api.Settings:
     """Parse the JSON text of a gateway's settings; unknown keys are ignored.
 
-    Raises `ProtocolError` with the path of the first key that is missing or invalid.
+    Raises `ProtocolError` if the text is not JSON, or with the path of a key that is missing or invalid.
     """
     try:
         root = _SettingsObject(json.loads(text), "")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -108,7 +108,7 @@
 
 
 def send_actions(actions: list[api.Action]) -> list[api.Send]:
-    """Return the attempts that are to be sent."""
+    """Return the actions that send an attempt."""
     return [action for action in actions if isinstance(action, api.Send)]
 
 
--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -118,7 +118,8 @@
 class Backend:
     """A server on loopback that runs `handler` for each request.
 
-    Without a handler, the test takes requests from `request_queue` and answers them itself.
+    Without a handler, the test takes requests from `request_queue` and answers them itself. `requests` holds
+    all requests received so far.
     """
 
     handler: RequestHandler | None = None
@@ -347,4 +348,5 @@
         assert await self.reader.read() == b""
 
     def close(self) -> None:
+        """Close the connection from the client's side."""
         self.writer.close()
--- a/tests/test_simulator_protocol.py
+++ b/tests/test_simulator_protocol.py
@@ -1,4 +1,4 @@
-"""The simulator's protocol and adapter: valid frames are decoded, errors name the fault of invalid ones."""
+"""Tests of the simulator's protocol and adapter, with valid and with malformed input."""
 
 from __future__ import annotations
 
@@ -130,9 +130,9 @@
 def test_settings_have_defaults_and_errors_name_a_missing_key() -> None:
     parsed = simulator_protocol.parse_settings(json.dumps(SETTINGS).encode())
     assert parsed.metering_ms == 0 and not parsed.may_probe and parsed.plans[0].parallel == 0
-    for key, named in (("me", "me"), ("guarantees", "guarantees")):
+    for key, message in (("me", "me"), ("guarantees", "guarantees")):
         raw = {kept: value for kept, value in SETTINGS.items() if kept != key}
-        with pytest.raises(simulator_protocol.ProtocolError, match=named):
+        with pytest.raises(simulator_protocol.ProtocolError, match=message):
             simulator_protocol.parse_settings(json.dumps(raw).encode())
     with pytest.raises(simulator_protocol.ProtocolError, match="not JSON"):
         simulator_protocol.parse_settings(b"{")
