--- a/ironstage/__main__.py
+++ b/ironstage/__main__.py
@@ -23,7 +23,7 @@
 
 
 async def _close_stale_connections(limiter: Limiter, clients: Clients) -> None:
-    """Close idle server connections and stalled client connections, at regular intervals."""
+    """Close expired server connections and stalled client connections at regular intervals."""
     while True:
         await asyncio.sleep(STALE_CONNECTION_CHECK_INTERVAL_S)
         limiter.close_expired_connections()
@@ -31,7 +31,7 @@
 
 
 def _handle_reload_signal(watch: Watch) -> None:
-    """Watch discovery at the address in the replaced configuration file; ignore an invalid file."""
+    """Switch to the discovery address in the replaced configuration file; ignore an invalid file."""
     try:
         address = configuration.reload_discovery_address(os.environ)
     except configuration.ConfigError as error:
@@ -73,7 +73,7 @@
 
 
 def main() -> int:
-    """Run a limiter; return the exit status: 0 after a stop signal, 2 for an invalid configuration."""
+    """Run a limiter. Return the exit status: 0 after a stop signal, 2 without a valid configuration."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(name)s: %(message)s")
     try:
         config = configuration.load(os.environ)
--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -33,7 +33,8 @@
 MIN_DRAIN_LISTEN_S = 0.45  # new connections arrive for up to 0.4 s after SIGTERM
 LISTEN_QUIET_PERIOD_S = 0.1  # a drain stops listening only this long after the last new connection
 MAX_DRAIN_LISTEN_S = 0.6
-FIRST_REQUEST_TIMEOUT_S = 0.3  # how long a new connection may take to send its first request, also in a drain
+# A new connection is kept this long for its first request, also at the connection limit and in a drain.
+FIRST_REQUEST_GRACE_S = 0.3
 FINAL_FLUSH_TIMEOUT_S = 0.2  # for writing what is buffered, after all connections were told to close
 
 CUSTOMER_ID_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
@@ -110,9 +111,8 @@
     """
 
     def __init__(self, settings: Settings) -> None:
-        # Keyed by the names of the classes and plans; `n` is the position in the settings.
-        self._classes = {c.name.encode(): (n, c.effect) for n, c in enumerate(settings.classes)}
-        self._plans = {plan.name.encode(): n for n, plan in enumerate(settings.plans)}
+        self._class_by_name = {c.name.encode(): (index, c.effect) for index, c in enumerate(settings.classes)}
+        self._plan_index_by_name = {plan.name.encode(): index for index, plan in enumerate(settings.plans)}
         self._gateway_count = settings.gateway_count
         self._most_units = settings.most_units or math.inf
 
@@ -121,16 +121,19 @@
     ) -> RequestMetadata:
         """Return the metadata of a request, or raise `BadRequestError`; header names are in lower case."""
         path = FIRST_PATH_SEGMENT_PATTERN.match(url)
-        if path is None or path[1] not in self._classes:
+        if path is None or path[1] not in self._class_by_name:
             raise BadRequestError(404, "no such class in the path")
         if headers.get(b"req-kind") != path[1]:
             raise BadRequestError(400, "Req-Kind is not the class in the path")
-        class_index, retry_safety = self._classes[path[1]]
+        class_index, retry_safety = self._class_by_name[path[1]]
         self._check_method(method, retry_safety, headers, has_body)
         client_request_id = headers.get(b"req-id", b"")
         if not REQUEST_ID_PATTERN.fullmatch(client_request_id):
             raise BadRequestError(400, "Req-Id is missing or wrong")
-        plan_index, api_key = self._plans.get(headers.get(b"x-tier", b"")), headers.get(b"x-api-key", b"")
+        plan_index, api_key = (
+            self._plan_index_by_name.get(headers.get(b"x-tier", b"")),
+            headers.get(b"x-api-key", b""),
+        )
         if plan_index is None:
             raise BadRequestError(400, "X-Tier is missing or names no plan")
         if not CUSTOMER_ID_PATTERN.fullmatch(api_key) or (customer_id := int(api_key, 16)) >= 1 << 33:
@@ -199,7 +202,7 @@
         self._unanswered_requests: deque[HttpRequest] = deque()
         self._parsing = False  # inside data_received; responses wait until its end
         self._needs_lingering_close = False  # the sender of a rejected request may still be sending it
-        self._input_closed = False  # further input is ignored, no request is read from it
+        self._input_closed = False  # no further request is read
         self._reading_paused = False
         self._writing_paused = False  # the client does not read its responses: the write buffer is full
         self._url = b""
@@ -214,13 +217,13 @@
 
     # --- Connection ----------------------------------------------------------------------------
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        self._transport = cast(asyncio.Transport, transport)  # uvloop's transport is no subclass of it
+        # uvloop's transport is not a subclass of asyncio.Transport.
+        self._transport = cast(asyncio.Transport, transport)
         self._clients.idle_connections[self] = None
 
     def connection_lost(self, exc: Exception | None) -> None:
         self._input_closed = True
-        # The parser refers back to this object; that cycle would keep both until a garbage collection.
-        del self._parser
+        del self._parser  # breaks a reference cycle that only the garbage collector would free
         self._clients.remove_connection(self)
         requests, self._unanswered_requests = self._unanswered_requests, deque()
         self._drop_partial_body()
@@ -262,14 +265,14 @@
         if self._transport and not self._unanswered_requests:
             self._transport.close()
 
-    def expects_request(self, since_s: float) -> bool:
+    def expects_request(self, cutoff_s: float) -> bool:
         """Whether a request may still arrive in full.
 
-        True if the connection was opened after `since_s` and has sent no response yet, or if a request that
-        began to arrive after `since_s` is being received.
+        True if the connection was opened after `cutoff_s` and has sent no response yet, or if a request that
+        began to arrive after `cutoff_s` is being received.
         """
-        return (not self.has_sent_response and self.connected_s > since_s) or (
-            self.request_started_s is not None and self.request_started_s > since_s
+        return (not self.has_sent_response and self.connected_s > cutoff_s) or (
+            self.request_started_s is not None and self.request_started_s > cutoff_s
         )
 
     def is_stalled(self, cutoff_s: float) -> bool:
@@ -400,7 +403,7 @@
         request.request_id = self._clients.limiter.submit(request, metadata)
 
     def _respond(self, keep_alive: bool, status_code: int, text: str = "") -> None:
-        """Answer a request that the limiter is not given."""
+        """Answer a request without submitting it to the limiter."""
         request = HttpRequest(self, keep_alive)
         self._unanswered_requests.append(request)
         request.answer(status_code, text.encode(), b"text/plain" if text else b"")
@@ -462,9 +465,9 @@
 
 
 class Clients:
-    """The listener and the client connections, with limits on both and a graceful drain.
+    """Accepts client connections, bounds their number and memory, and drains them gracefully.
 
-    At most `max_connection_count` connections are open, and at most `max_buffered_body_bytes` of request
+    At most `max_connections` connections are open, and at most `max_buffered_body_bytes` of request
     bodies are buffered.
     """
 
@@ -473,7 +476,7 @@
         limiter: Limiter,
         settings: Settings,
         address: Address,
-        max_connection_count: int,
+        max_connections: int,
         max_buffered_body_bytes: int,
     ) -> None:
         self.limiter = limiter
@@ -485,7 +488,7 @@
         self.receiving_connections: dict[_ClientConnection, None] = {}
         self._open_connections: set[_ClientConnection] = set()
         self._connection_start_tasks: set[asyncio.Task[None]] = set()
-        self._max_connection_count = max_connection_count
+        self._max_connections = max_connections
         self._max_buffered_body_bytes = max_buffered_body_bytes
         self._buffered_body_bytes = 0  # of requests that are being received or wait for their response
         self._last_accept_s = 0.0
@@ -528,7 +531,7 @@
 
     def _accept_connections(self) -> None:
         for _ in range(ACCEPT_BATCH_SIZE):
-            if len(self._open_connections) >= self._max_connection_count and not self._evict_connection():
+            if len(self._open_connections) >= self._max_connections and not self._evict_connection():
                 self._pause_accepting_for(ACCEPT_RETRY_DELAY_S)
                 return
             try:
@@ -555,17 +558,16 @@
         try:
             await asyncio.get_running_loop().connect_accepted_socket(lambda: connection, sock)
         except OSError as error:
-            log.warning("an accepted client connection failed before it could be served: %s", error)
+            log.warning("accepted client connection failed before it could be served: %s", error)
             sock.close()
             self.remove_connection(connection)
 
     def _evict_connection(self) -> bool:
         """Close the connection that has been idle for longest, or else the one with the slowest request.
 
-        A new connection is spared for the `FIRST_REQUEST_TIMEOUT_S` that it has for its first request. Return
-        whether a connection was closed.
+        A new connection is spared for `FIRST_REQUEST_GRACE_S`. Return False if there was none to close.
         """
-        cutoff_s = monotonic() - FIRST_REQUEST_TIMEOUT_S
+        cutoff_s = monotonic() - FIRST_REQUEST_GRACE_S
         connection = next(
             (c for c in self.idle_connections if c.has_sent_response or c.connected_s < cutoff_s), None
         )
@@ -617,7 +619,7 @@
                 connection.reject(408)
 
     async def drain(self) -> None:
-        """Shut down gracefully: listen while connections still arrive, then until all is answered."""
+        """Shut down gracefully: listen while connections still arrive, then finish all requests and close."""
         start_s = monotonic()
         self.draining = True
         self._close_idle_connections(start_s)
@@ -628,7 +630,7 @@
         self._accept_connections()  # those that arrived since the event loop last polled the listener
         self.stop_listening()
         while self.limiter.open_request_count or any(
-            connection.expects_request(monotonic() - FIRST_REQUEST_TIMEOUT_S)
+            connection.expects_request(monotonic() - FIRST_REQUEST_GRACE_S)
             for connection in self._open_connections
         ):
             self._close_idle_connections(monotonic())
@@ -640,11 +642,11 @@
             await asyncio.sleep(0.01)
 
     def _close_idle_connections(self, now_s: float) -> None:
-        """Close idle connections, except new ones within `FIRST_REQUEST_TIMEOUT_S` of their connect."""
+        """Close idle connections, except new ones within `FIRST_REQUEST_GRACE_S` of their connect."""
         for connection in [
             c
             for c in self.idle_connections
-            if c.has_sent_response or c.connected_s < now_s - FIRST_REQUEST_TIMEOUT_S
+            if c.has_sent_response or c.connected_s < now_s - FIRST_REQUEST_GRACE_S
         ]:
             self.idle_connections.pop(connection, None)
             connection.close()
--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -12,7 +12,7 @@
 
 Address = tuple[str, int]
 
-# The default limits are what the deployment grants a limiter in production.
+# The defaults of `sockets` and `memory_mb` are what the deployment grants a limiter in production.
 DEFAULT_SOCKET_COUNT = 1024  # file descriptors
 MIN_SOCKET_COUNT = 64  # for the event loop, the listener, discovery, and some connections to either side
 DEFAULT_MEMORY_MB = 192.0  # the most that the deployment grants
@@ -38,9 +38,8 @@
 
     `sockets` is the number of file descriptors that the limiter may use. `max_buffered_body_bytes` bounds
     the client request bodies held at a time, and `max_open` the requests without an answer. The ids of the
-    `zones` are their positions. A server closes a connection that has been idle for
-    `server_idle_timeout_s`. `known` is the last known list of servers,
-    in discovery's JSON format.
+    `zones` are their positions. A server closes a connection that has been idle for `server_idle_timeout_s`.
+    `known` is the last known list of servers, in discovery's JSON format.
     """
 
     name: str
@@ -88,13 +87,14 @@
 def _max_buffered_body_bytes(memory_mb: float) -> int:
     """Return how many bytes of client request bodies may be held at a time.
 
-    The memory limit must hold every copy of a body; `MIN_BUFFERED_BODY_BYTES` are allowed in any case.
+    `BODY_COPY_COUNT` copies of each body must fit into the memory limit less `BASE_MEMORY_MB`. At least
+    `MIN_BUFFERED_BODY_BYTES` are allowed in any case.
     """
     return max(MIN_BUFFERED_BODY_BYTES, int((memory_mb - BASE_MEMORY_MB) * (1 << 20) / BODY_COPY_COUNT))
 
 
 def _parse_seed(text: object) -> int:
-    """Parse the seed of the random number generators."""
+    """Parse the hexadecimal seed of the random number generators."""
     try:
         return int(str(text), 16)
     except ValueError:
--- a/ironstage/net/discovery.py
+++ b/ironstage/net/discovery.py
@@ -1,7 +1,7 @@
 """Service discovery: the list of servers, and a watch for its changes that reconnects with backoff.
 
-A watch is one chunked HTTP/1.1 response of the discovery agent that does not end: each line is a host list
-in JSON, and empty lines are heartbeats. Fields that end in `_s` are seconds.
+A watch is one chunked HTTP/1.1 response of the discovery agent that does not end. Each line is a host list
+in JSON or is empty, and any data is a heartbeat. Fields that end in `_s` are seconds.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 # A limiter is regarded as knowing a change 6 s after discovery had it, whether or not it has received it.
 # HEARTBEAT_TIMEOUT_S and MAX_BACKOFF_S stay below that.
-HEARTBEAT_TIMEOUT_S = 4.5  # the agent writes a line, if only an empty one, every 2 s
+HEARTBEAT_TIMEOUT_S = 4.5  # the agent writes every 2 s
 CONNECT_TIMEOUT_S = 1.0
 # First and longest backoff before the watch reconnects, with up to UNSCALED_BACKOFF_CLIENT_COUNT limiters.
 BACKOFF_RANGE_S = (0.05, 1.0)
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HostList:
-    """A version of the host list: all hosts if `whole`, else only those that changed."""
+    """Version `seq` of the host list: all hosts if `whole`, else changes to the hosts that it names."""
 
     seq: int
     whole: bool
@@ -104,7 +104,7 @@
         try:
             hosts.append(_parse_host(entry))
         except (KeyError, TypeError, ValueError, OverflowError, ConfigError) as error:
-            log.warning("discovery: skipped an invalid entry of host list version %d: %r", seq, error)
+            log.warning("discovery: invalid entry in host list version %d, skipping it: %r", seq, error)
             all_valid = False
     return HostList(seq, all_valid and raw.get("whole") is True, tuple(hosts)), all_valid
 
@@ -134,7 +134,7 @@
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
-            log.warning("discovery: closing the watch, invalid HTTP response: %r", error)
+            log.warning("discovery: invalid HTTP response, closing the watch: %r", error)
             self.close()
             return
         lines: list[bytes] = []
@@ -143,7 +143,7 @@
             *lines, incomplete_line = bytes(self._buffer).split(b"\n")
             self._buffer, self._has_complete_line = bytearray(incomplete_line), False
         if len(self._buffer) > MAX_LINE_BYTES:
-            log.warning("discovery: closing the watch, a line exceeds %d bytes", MAX_LINE_BYTES)
+            log.warning("discovery: line longer than %d bytes, closing the watch", MAX_LINE_BYTES)
             self.close()
         for line in lines:
             if line.strip() and not self._on_line(line):
@@ -170,9 +170,9 @@
 def count_discovery_clients(settings: api.Settings) -> int:
     """Return how many limiters call the same discovery service, as the backoff depends on it.
 
-    If limiters must subscribe, all of them do. Otherwise changes are pushed to the agent on each machine,
-    which answers at once. What it holds is regarded as known to its limiter, whether requested or not, so a
-    starting limiter must not be delayed by a long backoff.
+    If limiters must subscribe to changes, all of them call the same service. Otherwise changes are pushed to
+    the agent on each machine, which answers at once. What it holds is regarded as known to its limiter,
+    whether requested or not, so a starting limiter must not be delayed by a long backoff.
     """
     return settings.gateway_count if settings.must_subscribe else 1
 
@@ -232,7 +232,7 @@
         try:
             await self._connect_and_read()
         except (OSError, TimeoutError) as error:
-            log.warning("discovery: watch failed: %r", error)
+            log.warning("discovery: cannot connect, retrying after the backoff: %r", error)
 
     async def _connect_and_read(self) -> None:
         """Connect to the agent, request the watch and process its lines until it ends or stalls."""
@@ -260,7 +260,7 @@
         try:
             host_list, all_valid = parse_host_list(json.loads(line))
         except (ValueError, RecursionError) as error:
-            log.warning("discovery: closing the watch, invalid host list: %r", error)
+            log.warning("discovery: invalid host list, closing the watch: %r", error)
             return False
         # Ignore repeated and outdated lists. Only a full list at the start of a watch may reset the version.
         if host_list.seq <= self.seq and not (self._awaiting_first_list and host_list.whole):
--- a/ironstage/net/limiter.py
+++ b/ironstage/net/limiter.py
@@ -29,10 +29,11 @@
 # The decision module's clock starts at this value, not at 0, so that servers that started before the limiter
 # have a start time above 0: one of 0 or less means "long ago".
 CLOCK_START_MS = 1e9
-# The decision module's deadline is this much before the client's, as the answer takes time to arrive.
+# The decision module's deadline is this much before the client's, as the answer takes time to arrive, but not
+# before half of the client's timeout has passed.
 RESPONSE_MARGIN_S = 0.010
 PROBE_TIMEOUT_S = 0.25
-MAX_LOAD_REPORT_VALUE = 10_000.0  # no server holds or serves more requests
+MAX_LOAD_REPORT_VALUE = 10_000.0  # of any field; no server holds or serves more
 # Connections to servers may use this part of the unreserved descriptors; clients' connections get the rest.
 SERVER_CONNECTION_FRACTION = 0.4
 RESERVED_DESCRIPTOR_COUNT = 32  # for the listener, the discovery watch, the event loop and the log
@@ -142,7 +143,7 @@
         try:
             host_list = parse_host_list(config.known)[0]
         except ValueError as error:
-            log.warning("server list in the configuration is unusable: %s", error)
+            log.warning("invalid server list in the configuration, ignoring it: %s", error)
             return
         self.cached_list_seq = host_list.seq
         self._apply_list(host_list, api.ListKind.CACHED)
@@ -247,15 +248,15 @@
         self._dispatching = True
         try:
             while self._event_queue:
-                self._handle(self._event_queue.popleft())
+                self._handle_event(self._event_queue.popleft())
         finally:
             self._dispatching = False
 
-    def _handle(self, event: api.Event) -> None:
+    def _handle_event(self, event: api.Event) -> None:
         """Pass one event to the decision module and carry out the actions that it returns."""
         try:
             for action in self._gateway.handle(self._now_ms(), event):
-                self._execute(action)
+                self._execute_action(action)
         except Exception:
             # An exception on one request must not affect the others; only its own client gets a 500.
             log.exception("decision module or one of its actions failed on event %r", event)
@@ -264,7 +265,7 @@
                 self._answer(request_id, 500)
                 self._event_queue.append(api.RequestAbandoned(request_id))
 
-    def _execute(self, action: api.Action) -> None:
+    def _execute_action(self, action: api.Action) -> None:
         """Carry out one action of the decision module."""
         match action:
             case api.Send():
@@ -302,15 +303,17 @@
             attempt.cancel()
 
     def _send(self, action: api.Send) -> None:
-        """Start an attempt, or report it as not sent if the request is closed, late or out of attempts."""
+        """Start an attempt, or report it as not sent: the request is closed, too late or out of attempts."""
         request_id, now_ms = action.request_id, self._now_ms()
         pending = self._requests.get(request_id)
         attempt_number = len(pending.attempts) if pending else 0
-        expiry_ms = min(action.attempt_deadline_ms or math.inf, pending.deadline_ms) if pending else 0.0
+        attempt_deadline_ms = (
+            min(action.attempt_deadline_ms or math.inf, pending.deadline_ms) if pending else 0.0
+        )
         if (
             not pending
             or not pending.is_open
-            or now_ms >= expiry_ms
+            or now_ms >= attempt_deadline_ms
             or attempt_number >= self._settings.max_attempts
         ):
             request_closed = not pending or not pending.is_open
@@ -320,11 +323,11 @@
                 )
             )
             return
-        deadline_header = f"Req-Deadline: {(expiry_ms - now_ms) / 1000:.3f}\r\n\r\n"
+        deadline_header = f"Req-Deadline: {(attempt_deadline_ms - now_ms) / 1000:.3f}\r\n\r\n"
         attempt = self._servers.send(
             action.server_id,
             pending.client_request.forwarded_head + deadline_header.encode() + pending.client_request.body,
-            self._to_loop_time(expiry_ms),
+            self._to_loop_time(attempt_deadline_ms),
             partial(self._handle_attempt_end, request_id, pending, attempt_number, action.server_id, now_ms),
             pending.at_most_once,
         )
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -29,7 +29,8 @@
 SAFE_REUSE_IDLE_S = 0.05  # no server closes a connection that has been idle for less
 # After a connection broke that had been idle for a time t, others are reused up to this fraction of t.
 BROKEN_IDLE_FRACTION = 0.5
-# Growth of that bound at each sweep (every 0.25 s): until it has recovered it doubles in about a minute.
+# Growth of that bound at each call of `close_expired_connections`, every 0.25 s: it doubles in about a minute
+# until it is back at its initial value.
 MAX_IDLE_GROWTH_FACTOR = 1.003
 USAGE_PERCENT_PATTERN = re.compile(rb"[0-9]{1,5}(\.[0-9]{1,6})?")
 # Once a response has begun to arrive, it is invalid if the rest takes longer than this.
@@ -63,9 +64,9 @@
 
 
 class Attempt:
-    """An HTTP request `message` sent to one server, which times out at `deadline_s`.
+    """One transmission of an HTTP request to a server; it times out at `deadline_s`.
 
-    `on_end` is called once, with the outcome.
+    `message` is the whole request. `on_end` is called once, with the outcome.
     """
 
     __slots__ = ("_on_end", "_timer", "connection", "deadline_s", "ended", "message")
@@ -104,7 +105,7 @@
 
 
 def _parse_usage_percent(raw: bytes) -> int | None:
-    """Return the metered use in percent, or None if the value is no number or beyond the meter's range."""
+    """Return the metered use in percent, or None if the value is not a number in the meter's range."""
     return round(float(raw)) if USAGE_PERCENT_PATTERN.fullmatch(raw) else None
 
 
@@ -190,7 +191,7 @@
             self._stop_partial_response_timer()  # an interim response does not tell when the final one begins
         elif self._attempt and self._partial_response_timer is None:
             self._partial_response_timer = asyncio.get_running_loop().call_later(
-                PARTIAL_RESPONSE_TIMEOUT_S, self._fail_invalid_response, "timed out waiting for the rest"
+                PARTIAL_RESPONSE_TIMEOUT_S, self._fail_invalid_response, "timed out before it was complete"
             )
 
     def on_header(self, name: bytes, value: bytes) -> None:
@@ -271,7 +272,8 @@
     def _fail_attempt(self, status: CallStatus) -> None:
         """Close the connection and end the current attempt, if any.
 
-        The status is CONNECT_FAILED if the request was not sent whole, as the server can't have run it.
+        If the request was not sent whole, the server can't have run it: the attempt then ends with
+        CONNECT_FAILED instead of `status`.
         """
         attempt, written = self._attempt, self.request_written
         self._body_parts = []
@@ -312,7 +314,7 @@
 
 
 class Servers:
-    """A pool of connections to the servers, which are identified by the decision module's numbers.
+    """The servers by id, and a pool of connections to them.
 
     At most `max_connections` are open. Servers close a connection idle for `server_idle_timeout_s`.
     """
@@ -381,7 +383,7 @@
         """Open a connection for an attempt; if the attempt has ended by then, keep it for the next one."""
         if self._open_connection_count >= self._max_connections and not self._close_longest_idle_connection():
             log.warning(
-                "no new connection to server %s: the limit is reached with %d open and none idle",
+                "cannot open a connection to server %s: limit reached, %d are open and none is idle",
                 server.address,
                 self._open_connection_count,
             )
@@ -405,7 +407,7 @@
             attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
             return
         if not server.ready or server.address != address:
-            # The server drained or moved during the connect: it must get no new requests there.
+            # The server began to drain or moved during the connect: no new request may go to this address.
             connection.close_immediately()
             attempt.end(AttemptResult(CallStatus.CONNECT_FAILED))
         elif attempt.ended:
@@ -461,12 +463,12 @@
     def close_expired_connections(self) -> None:
         """Close connections idle for too long, before the server closes them under a new request.
 
-        This is called at each sweep, and also raises the bound on reuse again.
+        Each call also raises a bound on reuse that `record_broken_connection` lowered.
         """
         self._max_idle_s = min(self._initial_max_idle_s, self._max_idle_s * MAX_IDLE_GROWTH_FACTOR)
-        idle_since_limit_s = monotonic() - self._max_idle_s
+        cutoff_s = monotonic() - self._max_idle_s
         for server in self._servers.values():
-            while server.idle_connections and server.idle_connections[0].idle_since_s < idle_since_limit_s:
+            while server.idle_connections and server.idle_connections[0].idle_since_s < cutoff_s:
                 server.idle_connections.pop(0).close_immediately()
 
     def close(self) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -386,7 +386,7 @@
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connection_count = 2
+            rig.clients._max_connections = 2
             busy_client = await rig.connect()
             busy_client.send(build_request(request_id="busy"))
             held_request = await server.request_queue.get()
@@ -406,11 +406,11 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """At the limit a connection is not closed as idle while it has time left for its first request."""
-    monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connection_count = 2
+            rig.clients._max_connections = 2
             request_ids = ["one", "two", "three"]
             connected_clients = [await rig.connect() for _ in request_ids]
             await wait_until(lambda: len(rig.clients.idle_connections) == 2)
@@ -442,7 +442,7 @@
 def test_drain_waits_for_a_partly_received_request(monkeypatch: pytest.MonkeyPatch) -> None:
     """A drain closes idle connections, but none on which the next request has begun to arrive."""
     monkeypatch.setattr(clients, "MIN_DRAIN_LISTEN_S", 0.05)
-    monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
@@ -486,11 +486,11 @@
 
 def test_connection_limit_times_out_the_slowest_requests(monkeypatch: pytest.MonkeyPatch) -> None:
     """Clients that never finish their requests must not keep a new client out."""
-    monkeypatch.setattr(clients, "FIRST_REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.05)
 
     async def test() -> None:
         async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connection_count = 3
+            rig.clients._max_connections = 3
             slow_clients = [await rig.connect() for _ in range(9)]
             for client in slow_clients:
                 client.send(build_request()[:20])
