--- a/tests/test_latency.py
+++ b/tests/test_latency.py
@@ -9,7 +9,7 @@
 
 from ironstage import latency
 
-SAFE_CLASS_INDEX = 0
+IDEMPOTENT = 0  # class index: position in `helpers.CLASSES`
 
 
 def test_weights_are_one_when_only_the_longest_observation_is_censored() -> None:
@@ -44,8 +44,14 @@
 
 def test_answer_probability_follows_the_observed_distribution() -> None:
     distribution = latency.AnswerTimeDistribution([(float(10 * n), True) for n in range(1, 101)])
-    low, half, high = (distribution.probability_within(wait_ms) for wait_ms in (50.0, 500.0, 900.0))
-    assert low < 0.12 and half == pytest.approx(0.5, abs=0.05) and high > 0.88
+    low_probability, median_probability, high_probability = (
+        distribution.probability_within(wait_ms) for wait_ms in (50.0, 500.0, 900.0)
+    )
+    assert (
+        low_probability < 0.12
+        and median_probability == pytest.approx(0.5, abs=0.05)
+        and high_probability > 0.88
+    )
 
 
 def test_answer_probability_rises_beyond_the_longest_observed_wait() -> None:
@@ -75,64 +81,64 @@
             assert 0.0 < distribution.probability_within(wait_ms) <= 1.0
 
 
-def rig_with_latency_history(waits_ms: list[float]) -> GatewayFixture:
-    """Return a gateway that has sent 60 requests of the safe class to a healthy back end.
+def make_fixture_with_latency_history(waits_ms: list[float]) -> GatewayFixture:
+    """Return a gateway that has sent 60 idempotent requests to a healthy back end.
 
     The back end's latencies are spread evenly over 20 to 140 ms. The clients' waits cycle through `waits_ms`;
     a request whose latency exceeds its wait times out.
     """
-    rig = GatewayFixture(gateway_count=200)
+    fixture = GatewayFixture(gateway_count=200)
     for step in range(60):
         now_ms = 1.0 + 40.0 * step
         wait_ms, answer_time_ms = waits_ms[step % len(waits_ms)], 20.0 + 2.0 * (step * 37 % 60)
-        (sent,) = send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
+        (sent,) = send_actions(fixture.submit_request(now_ms, IDEMPOTENT, timeout_ms=wait_ms))
         answered = answer_time_ms <= wait_ms
-        rig.end_attempt(
+        fixture.end_attempt(
             now_ms + 1.0,
             sent,
             "ok" if answered else "timeout",
             elapsed_ms=min(answer_time_ms, wait_ms),
             request_closed=True,
         )
-    rig.fire_timer(2500.0)
-    return rig
+    fixture.fire_timer(2500.0)
+    return fixture
 
 
 def test_capped_lane_admits_requests_with_long_deadlines_first() -> None:
-    rig = rig_with_latency_history([1000.0])
-    rig.gateway.lane_caps = (1.0, 1.0)
-    admitted = {40.0: 0, 1000.0: 0}
+    fixture = make_fixture_with_latency_history([1000.0])
+    fixture.gateway.lane_caps = (1.0, 1.0)
+    admitted_counts = {40.0: 0, 1000.0: 0}
     for n in range(400):
-        for wait_ms in admitted:
-            rig.gateway.occupied_slots = [0, 0]
-            rig.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
-            admitted[wait_ms] += len(
-                send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
+        for wait_ms in admitted_counts:
+            fixture.gateway.occupied_slots = [0, 0]
+            fixture.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
+            admitted_counts[wait_ms] += len(
+                send_actions(fixture.submit_request(now_ms, IDEMPOTENT, timeout_ms=wait_ms))
             )
-    assert admitted[1000.0] >= 380
-    assert admitted[40.0] < 100
+    assert admitted_counts[1000.0] >= 380
+    assert admitted_counts[40.0] < 100
 
 
 def test_uncapped_lane_admits_requests_with_short_deadlines() -> None:
-    rig = rig_with_latency_history([1000.0])
-    assert rig.gateway.lane_caps[0] == float("inf")
+    fixture = make_fixture_with_latency_history([1000.0])
+    assert fixture.gateway.lane_caps[0] == float("inf")
     assert all(
-        send_actions(rig.submit_request(2600.0 + n, SAFE_CLASS_INDEX, timeout_ms=40.0)) for n in range(20)
+        send_actions(fixture.submit_request(2600.0 + n, IDEMPOTENT, timeout_ms=40.0)) for n in range(20)
     )
 
 
 def test_capped_lane_still_admits_a_class_with_only_short_deadlines() -> None:
     """A later request with a long deadline is admitted too: short waits are no evidence about longer ones."""
-    rig = rig_with_latency_history([40.0])
-    rig.gateway.lane_caps = (1.0, 1.0)
-    admitted = 0
+    fixture = make_fixture_with_latency_history([40.0])
+    fixture.gateway.lane_caps = (1.0, 1.0)
+    admitted_count = 0
     for n in range(400):
-        rig.gateway.occupied_slots = [0, 0]
-        rig.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
-        admitted += len(send_actions(rig.submit_request(now_ms, SAFE_CLASS_INDEX, timeout_ms=40.0)))
-    assert admitted > 0
-    rig.gateway.occupied_slots = [0, 0]
-    assert action_names(rig.submit_request(2700.0, SAFE_CLASS_INDEX, timeout_ms=1000.0)) == ["Send"]
+        fixture.gateway.occupied_slots = [0, 0]
+        fixture.gateway.thresholds_updated_ms = now_ms = 2600.0 + n / 100.0
+        admitted_count += len(send_actions(fixture.submit_request(now_ms, IDEMPOTENT, timeout_ms=40.0)))
+    assert admitted_count > 0
+    fixture.gateway.occupied_slots = [0, 0]
+    assert action_names(fixture.submit_request(2700.0, IDEMPOTENT, timeout_ms=1000.0)) == ["Send"]
 
 
 def test_timeouts_of_short_deadlines_are_not_taken_for_lost_answers() -> None:
@@ -140,22 +146,22 @@
 
     Half of all gateways took an overload for lost answers.
     """
-    rig = rig_with_latency_history([1000.0, 40.0, 60.0])
-    assert len(rig.gateway.latency_window.censored_observations()) > 20
-    assert not rig.gateway.heavy_answer_loss
+    fixture = make_fixture_with_latency_history([1000.0, 40.0, 60.0])
+    assert len(fixture.gateway.latency_window.censored_observations()) > 20
+    assert not fixture.gateway.heavy_answer_loss
 
 
 def test_timed_out_attempt_holds_its_slot_for_at_least_the_mean_latency() -> None:
-    rig = rig_with_latency_history([1000.0])
-    mean_latency_ms, wait_ms = rig.gateway.fleet.mean_latency_ms, 10.0
+    fixture = make_fixture_with_latency_history([1000.0])
+    mean_latency_ms, wait_ms = fixture.gateway.fleet.mean_latency_ms, 10.0
     assert mean_latency_ms > 70.0
-    (sent,) = send_actions(rig.submit_request(2600.0, SAFE_CLASS_INDEX, timeout_ms=wait_ms))
-    rig.end_attempt(2600.0 + wait_ms, sent, "timeout", elapsed_ms=wait_ms, request_closed=True)
-    outstanding = rig.gateway.occupied_slots[0]
-    rig.fire_timer(2600.0 + wait_ms + mean_latency_ms - 1.0)
-    assert rig.gateway.occupied_slots[0] == outstanding > 0
-    rig.fire_timer(2600.0 + wait_ms + mean_latency_ms + 1.0)
-    assert rig.gateway.occupied_slots[0] == outstanding - 1
+    (sent,) = send_actions(fixture.submit_request(2600.0, IDEMPOTENT, timeout_ms=wait_ms))
+    fixture.end_attempt(2600.0 + wait_ms, sent, "timeout", elapsed_ms=wait_ms, request_closed=True)
+    occupied_slot_count = fixture.gateway.occupied_slots[0]
+    fixture.fire_timer(2600.0 + wait_ms + mean_latency_ms - 1.0)
+    assert fixture.gateway.occupied_slots[0] == occupied_slot_count > 0
+    fixture.fire_timer(2600.0 + wait_ms + mean_latency_ms + 1.0)
+    assert fixture.gateway.occupied_slots[0] == occupied_slot_count - 1
 
 
 def test_timeouts_of_an_overload_expire_together_with_answers_of_that_time() -> None:
@@ -165,9 +171,9 @@
     """
     window = latency.ObservationWindow(5000.0, 20000.0, 10)
     for n in range(9):
-        window.add(latency.LatencyObservation(100.0 * n, SAFE_CLASS_INDEX, 700.0, False))
+        window.add(latency.LatencyObservation(100.0 * n, IDEMPOTENT, 700.0, False))
     for n in range(12):
-        window.add(latency.LatencyObservation(6000.0 + 400.0 * n, SAFE_CLASS_INDEX, 100.0, True))
+        window.add(latency.LatencyObservation(6000.0 + 400.0 * n, IDEMPOTENT, 100.0, True))
     window.trim(11000.0)
     assert not window.censored_observations() and len(window.answered_observations()) == 12
 
@@ -175,7 +181,7 @@
 def test_window_keeps_its_minimum_count_up_to_the_maximum_age() -> None:
     window = latency.ObservationWindow(5000.0, 20000.0, 10)
     for n in range(30):
-        window.add(latency.LatencyObservation(float(n), SAFE_CLASS_INDEX, 100.0, n % 2 == 0))
+        window.add(latency.LatencyObservation(float(n), IDEMPOTENT, 100.0, n % 2 == 0))
     window.trim(10000.0)
     assert len(window.observations) == 10
     window.trim(20025.0)
@@ -183,18 +189,18 @@
 
 
 def test_outstanding_attempts_raise_the_mean_latency_before_they_time_out() -> None:
-    rig = rig_with_latency_history([1000.0])
-    mean_latency_ms = rig.gateway.fleet.mean_latency_ms
+    fixture = make_fixture_with_latency_history([1000.0])
+    mean_latency_ms = fixture.gateway.fleet.mean_latency_ms
     for n in range(8):
-        assert send_actions(rig.submit_request(2600.0 + n, SAFE_CLASS_INDEX))
-    rig.fire_timer(3550.0)
-    assert rig.gateway.fleet.mean_latency_ms > 1.5 * mean_latency_ms
+        assert send_actions(fixture.submit_request(2600.0 + n, IDEMPOTENT))
+    fixture.fire_timer(3550.0)
+    assert fixture.gateway.fleet.mean_latency_ms > 1.5 * mean_latency_ms
 
 
 def test_single_outstanding_attempt_past_its_deadline_does_not_change_the_mean_latency() -> None:
-    rig = rig_with_latency_history([1000.0])
-    mean_latency_ms = rig.gateway.fleet.mean_latency_ms
-    assert send_actions(rig.submit_request(2600.0, SAFE_CLASS_INDEX))
-    rig.fire_timer(3601.0)
-    rig.fire_timer(4200.0)
-    assert rig.gateway.fleet.mean_latency_ms == pytest.approx(mean_latency_ms, rel=0.1)
+    fixture = make_fixture_with_latency_history([1000.0])
+    mean_latency_ms = fixture.gateway.fleet.mean_latency_ms
+    assert send_actions(fixture.submit_request(2600.0, IDEMPOTENT))
+    fixture.fire_timer(3601.0)
+    fixture.fire_timer(4200.0)
+    assert fixture.gateway.fleet.mean_latency_ms == pytest.approx(mean_latency_ms, rel=0.1)
