--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -32,22 +32,22 @@
 
 # --- Constants: lanes and thresholds --------------------------------------------------------------
 THRESHOLD_UPDATE_INTERVAL_MS = 500.0  # short, because the load changes within seconds
-LOAD_WINDOW_MS = 5000.0  # holds some hundred completions at tens of requests a second
-# The window keeps at least so many completions, up to the maximum age; with fewer, the thresholds stay as
-# they are.
+LOAD_WINDOW_MS = 5000.0  # holds some hundred ended attempts at tens of requests a second
+# Ended attempts that the window keeps even if they are older, up to the maximum age. With fewer, the
+# thresholds stay as they are.
 MIN_OBSERVATION_COUNT = 10
 MAX_OBSERVATION_AGE_MS = 20000.0  # older observations say nothing about the present load
 # Margin above a threshold, in square roots of the threshold: the small counts of one gateway fluctuate
 # by chance, while their sum over all gateways hardly does.
 CAP_MARGIN_STDDEVS = 1.5
-MIN_LANE_CAP_REQUESTS = 0.2  # above 0, because a lane without completions could never open again
+MIN_LANE_CAP_REQUESTS = 0.2  # above 0, because a lane without ended attempts could never open again
 # Bound on lane one's mean latency, as a fraction of its aim: most answers shall be within the aim, not half.
 MEAN_LATENCY_BOUND_AIM_FRACTION = 0.15
 SAME_LANE_AIM_FACTOR = 1.34  # classes with aims up to this multiple of the tightest aim are in lane one
 END_AT_AIM_MAX_LATE_WORTH = 0.3  # up to this late worth, a class's attempts end at the aim
 # Minimum throughput T of lane two, as fractions of its arrivals; the highest feasible one is used.
 LANE_TWO_FLOOR_FRACTIONS = tuple(n / 10 for n in range(9, 1, -1))
-# Largest growth of the remembered light-load latency at each threshold update; it doubles in some 2 s.
+# Largest growth of the remembered light-load latency at each threshold update; it can double in 1.5 s.
 LIGHT_LATENCY_MAX_GROWTH_FACTOR = 1.3
 MAX_SEARCH_THRESHOLD = 96  # largest value of either threshold; bounds the search (about 5 ms in CPython)
 
@@ -56,15 +56,15 @@
 METER_LAG_STEP_MS = 100.0
 METER_LAG_STEP_COUNT = 30  # longer lags are not considered
 INITIAL_METER_LAG_STEPS = 8  # assumed before any evidence
-TRAFFIC_FRACTION_RELATIVE_ERROR = 0.15  # error allowed for in the fraction of a customer's traffic
-# Weight of the initial lag: error added for each squared step away from it, in units of the normal
-# squared prediction error. Small, so that it only breaks ties.
+TRAFFIC_FRACTION_RELATIVE_ERROR = 0.15  # expected error of a customer's estimated traffic fraction
+# Weight of the initial lag. Another lag starts with an error of this weight times its squared distance in
+# steps; an error of 1 is the expected squared error of one reading. Small, so that it only breaks ties.
 METER_LAG_PRIOR_WEIGHT = 0.1
 METER_PHASE_RETENTION_FACTOR = 0.95  # of earlier evidence on when readings change, at each change
 METER_LAG_RETENTION_FACTOR = 0.995  # of earlier lag errors, at each reading; some hundred readings decide
 SEND_HISTORY_MS = 10000.0  # minimum length of a customer's send history; exceeds the meter's lag
 TRAFFIC_FRACTION_PRIOR_UNITS = 8.0  # weight of an even spread over gateways against metered evidence
-# With a smaller part of the burst, the gateway's own sends say nothing about the token bucket's level.
+# If the gateway's fraction of the burst is smaller, its own sends say nothing about the bucket's level.
 MIN_OWN_BURST_UNITS = 1.0
 
 # --- Constants: admission share and token bucket of a customer ------------------------------------
@@ -74,11 +74,11 @@
 OTHERS_PRIOR_USE_RATE_FRACTION = 0.7  # use assumed for all other gateways together
 # Weight of this assumption against own sends, in units. It grows with the customer's gateways, because the
 # fraction of the traffic that one of many gateways sees is small and changes within seconds.
-OTHERS_PRIOR_MIN_WEIGHT_UNITS = 0.7
-OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY = 0.1
+OTHERS_PRIOR_MIN_UNITS = 0.7
+OTHERS_PRIOR_UNITS_PER_GATEWAY = 0.1
 # A customer that was idle for so long, with full token buckets, has no state worth keeping.
 CUSTOMER_EXPIRY_MS = 40000.0
-LIGHT_CUSTOMER_EXPIRY_MS = 10000.0  # the same for a customer with little demand
+LIGHT_CUSTOMER_EXPIRY_MS = 10000.0  # the same for one of whom little more than one request was seen
 LIGHT_CUSTOMER_MAX_UNITS = 1.0  # decayed demand and metered use up to which a customer counts as light
 CUSTOMER_EXPIRY_INTERVAL_MS = 1000.0
 # At some 2 KB each; beyond this count the longest idle are removed as soon as their ceiling bucket is full.
@@ -95,7 +95,7 @@
 OVER_QUOTA_RESERVE_BURST_FRACTION = 0.8  # also multiplied by the root of (1 - admission share)
 # Added to the latter for each gateway of the customer: with many gateways the admission share is a rough
 # estimate, and the reserve favours requests of high worth.
-OVER_QUOTA_RESERVE_BURST_FRACTION_PER_GATEWAY = 0.06
+RESERVE_FRACTION_PER_GATEWAY = 0.06
 MAX_BUCKET_DEBT_BURST_FRACTION = 1.0  # how far below empty the estimated level may fall
 
 # --- Constants: lost answers and late client retries ----------------------------------------------
@@ -112,7 +112,7 @@
 # While answers get lost, attempts that may be repeated time out after these fractions of the time left, which
 # leaves time for a retry.
 HEAVY_LOSS_ATTEMPT_TIME_FRACTION = 0.5
-LIGHT_LOSS_ATTEMPT_TIME_FRACTION = 0.65  # while more answers are lost than late
+LIGHT_LOSS_ATTEMPT_TIME_FRACTION = 0.65  # of first attempts, while more answers are lost than late
 # With a larger fraction of the recent answers late, timeouts are a sign of load, and retries would add to it.
 LIGHT_LOSS_MAX_LATE_FRACTION = 0.01
 LIGHT_LOSS_MIN_TIMEOUT_RATIO = 0.02  # timeouts to answers; below this, hardly any answer is lost
@@ -122,8 +122,8 @@
 FIRST_REQUEST_BIN_MIN_FRACTION = 0.7
 # A client's retry is late if the time left to its aim is less than both the mean latency and this fraction of
 # the aim.
-LATE_CLIENT_RETRY_TIME_LEFT_AIM_FRACTION = 0.5
-# With more than this fraction of the burst left in the bucket, a late retry takes nothing from others.
+LATE_CLIENT_RETRY_AIM_FRACTION = 0.5
+# With more than this fraction of the burst left, a client's late retry takes nothing that others need.
 AMPLE_LEVEL_BURST_FRACTION = 0.5
 
 # --- Constants: server health, load and choice ----------------------------------------------------
@@ -140,15 +140,15 @@
 # would draw all traffic.
 SUSPECT_ERROR_COUNT = 2
 REJECTION_AVOIDANCE_MS = 200.0  # a server is avoided so long after a rejection, times `gateway_count_factor`
-# A cold server's flow, as a multiple of its warm fraction of a warm server's flow: the warm fraction is the
-# least capacity that it can have.
+# A cold server's flow, as a multiple of its warm fraction of a warm server's flow. It is above 1, because the
+# warm fraction is the least capacity that the server can have.
 COLD_SERVER_FLOW_FACTOR = 1.2
 # The cold rule bounds a cold server's flow to `tip_multiple` times its warm fraction of the mean flow to a
 # server. The flow is kept to this fraction of that bound.
-COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION = 0.6
+COLD_RULE_BOUND_FRACTION = 0.6
 WARM_CAPACITY_UPDATE_INTERVAL_MS = 250.0
 FULL_UTILIZATION_LOAD_REQUESTS = 2.0  # outstanding requests that a reported utilization of 1 counts for
-CANDIDATE_SAMPLE_COUNT = 12  # servers sampled at random for an attempt
+CANDIDATE_SAMPLE_COUNT = 12  # servers sampled at random for each attempt
 # An answer within this multiple of the mean latency is prompt: the server has no queue. Most answers of an
 # idle server are prompt.
 PROMPT_ANSWER_LATENCY_FACTOR = 2.0
@@ -157,7 +157,7 @@
 PROMPT_ANSWER_BONUS_REQUESTS = 0.5
 # Weight of a new report in the moving average of the load, which stands in for missing and old reports.
 MEAN_LOAD_SMOOTHING_FACTOR = 0.1
-ZONE_EJECTION_FAILURE_COUNT = 3  # failures without an answer in between; then a zone gets trials only
+ZONE_AVOIDANCE_FAILURE_COUNT = 3  # failures without an answer in between; then a zone gets trials only
 LOAD_REPORT_VALIDITY_MS = 1500.0
 
 INF = math.inf
@@ -177,7 +177,10 @@
 
 
 def measures_at_m1_one(rho1: float, rho2: float, m2: int) -> tuple[float, float]:
-    """Return S1(1, m2) in mean service times and T2(1, m2) as a fraction of lambda2, by (28)-(31)."""
+    """Return lane one's mean sojourn time and lane two's throughput for the thresholds (1, m2), by (28)-(31).
+
+    The sojourn time S1 is in mean service times, and the throughput T2 is a fraction of lambda2.
+    """
     j4 = j5 = previous_sum = 0.0
     for j in range(m2 + 1):
         previous_sum = j4 + j5
@@ -204,7 +207,7 @@
     max_sojourn: float,
     min_lane_two_fraction: float,
 ) -> tuple[int, float, bool]:
-    """Return the largest feasible M1 for one M2, T1 / lambda1 there, and whether S1 ended the search.
+    """Return the largest feasible M1 for one M2, T1 / lambda1 there, and whether the bound on S1 limits M1.
 
     `weights_by_m1[m1]` is the product-form weight of the states with m1 requests of lane one and at most M2
     of lane two; `weights_below_m2[m1]` is that of the states with fewer than M2 of lane two.
@@ -231,7 +234,7 @@
     A threshold is infinite if its lane needs no cap. `rho1` and `rho2` are the lanes' utilizations, the
     arrival rates times the mean service times. `max_sojourn` is S mu1, the bound on lane one's mean sojourn
     time in mean service times, and `min_lane_two_fraction` is T / lambda2, the least throughput of lane two
-    as a fraction of its arrivals: the product form has no other units.
+    as a fraction of its arrivals. All are ratios, because the product form depends on nothing else.
     """
     rho1, rho2 = max(rho1, 1e-9), max(rho2, 1e-9)
     if rho1 + rho2 < 1 and max_sojourn * (1 - rho1 - rho2) >= 1:
@@ -274,8 +277,9 @@
         )
         if m1 and throughput_fraction > best_throughput_fraction:
             best_thresholds, best_throughput_fraction = (m1, m2), throughput_fraction
-        # As m2 grows, M1(m2) rises while the floor of lane two is the binding constraint, and falls while S1
-        # is. So only while S1 is binding can it have settled at its limit, and the search ends there.
+        # As m2 grows, M1(m2) rises while the floor of lane two limits it, then falls while the bound on S1
+        # does. The search ends when a falling M1(m2) reaches its value without a cap on lane two: only there
+        # has it settled.
         if sojourn_exceeded and m1 <= m1_without_m2_cap:
             break
     return best_thresholds
@@ -364,9 +368,9 @@
 class Customer:
     """What this gateway knows of one customer: the evidence on its use and an estimate of its token bucket.
 
-    A bucket that is full enough admits requests that the admission share would refuse. This covers bursts
-    within the quota, spikes that the meter does not show yet and missing readings. It admits wrongly if the
-    gateway's fraction of the customer's traffic is misjudged.
+    A bucket that is full enough admits requests that the admission share would refuse. This is for bursts
+    that the bucket covers, spikes that the meter does not show yet and missing readings. The drawback: it
+    may admit wrongly if the gateway's fraction of the customer's traffic is misjudged.
     """
 
     __slots__ = (
@@ -399,8 +403,8 @@
         self.metered_ms = self.metered_demand_units = 0.0
         self.own_demand_units, self.last_request_ms, self.gateway_started_ms = 0.0, now_ms, gateway_started_ms
         # Each gateway keeps to an equal part of the ceiling without coordination. The bucket is empty at the
-        # gateway's start, as an earlier process may have used all of it, and has been refilled since then,
-        # as nothing was sent for this customer.
+        # gateway's start, because an earlier process may have used all of it. It has been refilled since
+        # then, because this process has sent nothing for the customer.
         ceiling_empty_ms = min(gateway_started_ms, now_ms)
         self.ceiling_bucket = TokenBucket(
             plan.ceiling_rate / self.customer_gateway_count,
@@ -471,7 +475,7 @@
         """
         traffic_fraction, rate_per_ms = self.traffic_fraction(), max(1e-9, self.plan.rate / 1000.0)
         prior_units = max(
-            OTHERS_PRIOR_MIN_WEIGHT_UNITS, OTHERS_PRIOR_WEIGHT_UNITS_PER_GATEWAY * self.customer_gateway_count
+            OTHERS_PRIOR_MIN_UNITS, OTHERS_PRIOR_UNITS_PER_GATEWAY * self.customer_gateway_count
         )
         evidence_ms = (
             prior_units / (OTHERS_PRIOR_USE_RATE_FRACTION * rate_per_ms)
@@ -551,9 +555,9 @@
             own_units, metered_units
         )
         self.total_use_units = self.total_use_units * TRAFFIC_FRACTION_RETENTION_FACTOR + metered_units
-        self._rebase_bucket(now_ms, start_ms, end_ms, metered_units)
+        self._recompute_level(now_ms, start_ms, end_ms, metered_units)
 
-    def _rebase_bucket(self, now_ms: float, start_ms: float, end_ms: float, metered_units: float) -> None:
+    def _recompute_level(self, now_ms: float, start_ms: float, end_ms: float, metered_units: float) -> None:
         """Recompute the bucket's level from metered use up to `end_ms` and predicted use since then."""
         rate_per_ms, burst = self.plan.rate / 1000.0, self.plan.burst
         level, level_ms = self.period_end_level
@@ -595,8 +599,7 @@
         beyond its quota, a little of its rate.
         """
         over_quota_fraction = (
-            OVER_QUOTA_RESERVE_BURST_FRACTION
-            + OVER_QUOTA_RESERVE_BURST_FRACTION_PER_GATEWAY * self.customer_gateway_count
+            OVER_QUOTA_RESERVE_BURST_FRACTION + RESERVE_FRACTION_PER_GATEWAY * self.customer_gateway_count
         ) * math.sqrt(1.0 - admission_share)
         return (BASE_RESERVE_BURST_FRACTION + over_quota_fraction) * (1.0 - relative_worth) * self.plan.burst
 
@@ -604,7 +607,8 @@
         """Decide whether the quota admits a request, given a `random_value` from 0 to 1.
 
         The admission share is the probability of admission. It is not applied if the bucket is full enough,
-        as long as own sends are evidence about the bucket's level.
+        provided that own sends are evidence about the bucket's level. The cap on concurrent attempts
+        (`parallel`) and the reserve for requests of more worth always apply.
         """
         admission_share = self.admission_share(now_ms)
         self.own_demand_units = (
@@ -632,7 +636,7 @@
 # --- Server health and choice -------------------------------------------------------------------
 @dataclass(slots=True)
 class Attempt:
-    """An attempt at a server; `server_entry` is kept, as the server may be removed before the request."""
+    """An attempt at a server, with its list entry, as the server may be removed before the request ends."""
 
     number: int
     server_entry: api.Server  # as listed when the attempt was sent
@@ -653,7 +657,7 @@
     first_listed_ms: float
     outstanding_count: int = 0
     last_answer_ms: float = -INF
-    prompt_answer_ms: float = -INF  # reset when an attempt ends without a prompt answer
+    prompt_answer_ms: float = -INF  # reset by any other end of an attempt but a cancellation
     suspect: bool = False
     next_trial_ms: float = 0.0
     backoff_exponent: int = 0  # of the waits between trials
@@ -666,7 +670,7 @@
 
 
 class Fleet:
-    """The servers: server list, outlier ejection, slow start of cold servers and server choice."""
+    """The servers: server list, passive health checks, slow start of cold servers and server choice."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.settings = settings
@@ -740,12 +744,12 @@
         """Add the slow start tokens that a cold server has gained, and return its tokens.
 
         A cold server gains its warm fraction of a warm server's flow, bounded by the cold rule. The bound
-        refers to the mean flow to a server, which is less than a warm server can take. So it also holds
-        where hardly any server is warm, and where the flow to warm servers would say nothing.
+        refers to the mean flow to a server, which is less than a warm server carries. So it also holds where
+        hardly any server is warm and the flow to warm servers would say nothing.
         """
         self.trim_admitted_times(now_ms)
         server_count = max(1, len(self.ready_servers))
-        max_flow_factor = max(1.0, COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * self.settings.tip_multiple)
+        max_flow_factor = max(1.0, COLD_RULE_BOUND_FRACTION * self.settings.tip_multiple)
         # Requests per ms to a server with a warm fraction of 1, as far as the cold rule allows.
         warm_flow_per_ms = (
             len(self.admitted_times_ms)
@@ -835,7 +839,7 @@
             now_ms,
             suspect_until_ms,
             server.avoid_until_ms,
-            last_failure_ms + TRIAL_BACKOFF_MS if failure_count >= ZONE_EJECTION_FAILURE_COUNT else now_ms,
+            last_failure_ms + TRIAL_BACKOFF_MS if failure_count >= ZONE_AVOIDANCE_FAILURE_COUNT else now_ms,
         )
 
     def choose_server(
@@ -900,7 +904,7 @@
             server.last_answer_ms = now_ms
             self.zone_failures.pop(server.entry.zone, None)
         if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED, CallStatus.RESET):
-            # A single reset may concern only the connection; a dead process refuses the next one, too.
+            # A single reset may concern only the connection; a dead process also refuses the next connection.
             if event.status is not CallStatus.REJECTED:
                 server.consecutive_errors = (
                     0 if event.status is CallStatus.OK else server.consecutive_errors + 1
@@ -929,7 +933,7 @@
     def record_load_report(self, now_ms: float, server_id: int, values: tuple[float, ...]) -> None:
         """Update a server's load from a report.
 
-        The load is the number of requests in flight, or else in the queue, plus a share for CPU utilization.
+        The load is the number of requests in flight, or else in the queue, plus a term for CPU utilization.
         """
         server = self.servers.get(server_id)
         if server is None or not values:
@@ -949,7 +953,7 @@
         return 1.0 + MAX_JITTER_FRACTION * self.rng.random()
 
     def clear_suspicion(self, server: TrackedServer, now_ms: float) -> None:
-        """End the avoidance of a suspect that answers.
+        """Mark a server that answered as no longer suspect.
 
         Its zone may be back, so the zone's other suspects get their trials soon.
         """
@@ -1057,7 +1061,8 @@
         self.last_rejection_ms = -INF  # by any server
         self.heavy_answer_loss = False  # many answers get lost, although the others come quickly
         self.light_answer_loss = False  # some answers get lost, although hardly any answer is late
-        self.started_ms, self.customers_expired_ms = INF, 0.0  # started at the first server list
+        # Time of the first server list, and of the last check for idle customers.
+        self.started_ms, self.customers_expired_ms = INF, 0.0
         self.max_class_worth = (
             max((request_class.worth for request_class in settings.classes), default=0.0) or 1.0
         )
@@ -1202,9 +1207,7 @@
         time_left_ms = request_class.aim_ms - (request_class.deadline_ms - wait_ms)
         if (
             time_left_ms
-            >= min(
-                self.fleet.mean_latency_ms, LATE_CLIENT_RETRY_TIME_LEFT_AIM_FRACTION * request_class.aim_ms
-            )
+            >= min(self.fleet.mean_latency_ms, LATE_CLIENT_RETRY_AIM_FRACTION * request_class.aim_ms)
             or len(waits_ms) < MIN_OBSERVATION_COUNT
         ):
             return False
@@ -1322,7 +1325,7 @@
         self._remove_if_finished(request)
 
     def _retry_after_ms(self, now_ms: float, request: Request) -> float:
-        """Return the delay, in ms, after which a retry is advised.
+        """Return the delay in ms after which the client is advised to retry, at most `max_retry_after_ms`.
 
         This is the mean latency, after which most outstanding attempts have ended. If the meter shows that
         the quota is used up, it is at least the time until the bucket holds the request's units again.
@@ -1346,7 +1349,7 @@
             self._remove_if_finished(request)
 
     def _on_stream_started(self, now_ms: float, event: api.StreamStarted) -> None:
-        """Record that the answer goes to the client: no retry, cancellation or refusal after this."""
+        """Record that the answer goes to the client: no retry, cancellation, refusal or failure follows."""
         if request := self.requests.get(event.request_id):
             request.streaming = True
 
@@ -1372,9 +1375,9 @@
         attempt.may_have_run = event.status not in NEVER_RUN_STATUSES
         request.customer.outstanding_count -= 1
         if event.status is CallStatus.TIMEOUT and not was_suspect and not self.heavy_answer_loss:
-            # The server still works on a timed-out attempt or has yet to begin, and the shorter the wait was,
-            # the more of the work is left. So the slot stays occupied for as long again as the wait, and at
-            # least for the mean latency.
+            # The server still works on a timed-out attempt or has yet to begin. So the slot stays occupied
+            # for as long again as the wait was, but at least for the mean latency, because after a short
+            # wait more of the work is left.
             remaining_ms = max((TIMED_OUT_WORK_FACTOR - 1.0) * event.elapsed_ms, self.fleet.mean_latency_ms)
             heapq.heappush(self.timed_out_slots, (now_ms + remaining_ms, request.lane))
         else:
@@ -1451,7 +1454,7 @@
         # Timeouts are taken for lost answers, not for overload, if the other answers come quickly. Lost
         # answers are no sign of load and are worth a retry; the same holds for vanished servers. The
         # drawback: in an overload where only one class times out, the retries add to it. A timeout after a
-        # wait in which most answers would not have come is evidence of neither.
+        # shorter wait than most answers need is evidence of neither.
         timed_out = self.latency_window.censored_observations()
         answer_times_ms = sorted(
             observed.elapsed_ms for observed in self.latency_window.answered_observations()
@@ -1488,8 +1491,8 @@
         if self.heavy_answer_loss and not was_heavy_loss:
             self.actions.append(
                 api.Log(
-                    f"answers are being lost: {lost_count} attempts timed out after a normal wait, "
-                    f"{len(answer_times_ms)} were answered"
+                    f"answers are being lost: {lost_count} attempts timed out after a wait in which most "
+                    f"answers arrive, {len(answer_times_ms)} attempts were answered"
                 )
             )
         observed = (
@@ -1560,8 +1563,8 @@
         if (min(lane_caps) < INF) != (min(self.lane_caps) < INF):
             self.actions.append(
                 api.Log(
-                    f"lane caps set to {lane_caps[0]:.1f} and {lane_caps[1]:.1f} requests "
-                    f"at utilization {utilization:.2f}"
+                    f"lane caps set to {lane_caps[0]:.1f} (lane one) and {lane_caps[1]:.1f} (lane two) "
+                    f"requests at back-end utilization {utilization:.2f}"
                 )
             )
         self.lane_caps = lane_caps
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -191,7 +191,7 @@
 
 def test_few_doors_weigh_own_tries_as_before() -> None:
     two, seven = (Customer(PLAN, doors, 0.0) for doors in (2, 7))
-    guess = policy.OTHERS_PRIOR_MIN_WEIGHT_UNITS
+    guess = policy.OTHERS_PRIOR_MIN_UNITS
     for customer in (two, seven):
         part, rate = customer.traffic_fraction(), PLAN.rate / 1000.0
         weight = guess / (policy.OTHERS_PRIOR_USE_RATE_FRACTION * rate) + part * PLAN.burst / rate
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -265,7 +265,7 @@
 def test_where_hardly_a_server_is_warm_the_cold_rule_bounds_what_cold_ones_earn() -> None:
     rig = GatewayFixture([make_server(n, started_ms=100.0 if n > 1 else 0.0) for n in range(1, 41)])
     sent = [s.server_id for n in range(400) for s in send_actions(rig.submit_request(100.0 + 10.0 * n))]
-    flow, bound = len(sent) / 40, policy.COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * BASE_SETTINGS.tip_multiple
+    flow, bound = len(sent) / 40, policy.COLD_RULE_BOUND_FRACTION * BASE_SETTINGS.tip_multiple
     warmth = rig.gateway.fleet.warm_fraction(rig.gateway.fleet.servers[40], 4100.0)
     first = 39 * 0.5  # each one's first is due at random
     assert sum(number > 1 for number in sent) - first < 39 * flow * bound * warmth
