--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -326,7 +326,7 @@
     ]
     mean_requests_per_server, max_flow_factor = (
         len(chosen_ids) / 40,
-        policy.COLD_SERVER_MAX_TIP_MULTIPLE_FRACTION * BASE_SETTINGS.tip_multiple,
+        policy.COLD_RULE_BOUND_FRACTION * BASE_SETTINGS.tip_multiple,
     )
     warm_fraction = fixture.gateway.fleet.warm_fraction(fixture.gateway.fleet.servers[40], 4100.0)
     # Each cold server starts with a random part of a slow start token, half of one on average.
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -219,7 +219,7 @@
     two_gateway_customer, seven_gateway_customer = (
         Customer(PLAN, gateway_count, 0.0) for gateway_count in (2, 7)
     )
-    prior_units = policy.OTHERS_PRIOR_MIN_WEIGHT_UNITS
+    prior_units = policy.OTHERS_PRIOR_MIN_UNITS
     for customer in (two_gateway_customer, seven_gateway_customer):
         traffic_fraction, rate_per_ms = customer.traffic_fraction(), PLAN.rate / 1000.0
         evidence_ms = (
