--- a/ironstage/interface.py
+++ b/ironstage/interface.py
@@ -1,8 +1,13 @@
 """The interface of the decision module: settings, events and actions.
 
-Fields that end in `_ms` are milliseconds; points in time are on the caller's clock.
-Nothing here depends on a wire format or makes a decision: `ironstage.policy` decides. Some settings, events
-and actions stem from the simulator's protocol; the decision module does not use them.
+Nothing here depends on a wire format or makes a decision. `ironstage.policy` decides; its callers are
+`ironstage.net.limiter`, for real traffic, and `ironstage.simulator_adapter`. Some settings, events and
+actions stem from the simulator's protocol; the decision module does not use them.
+
+Fields that end in `_ms` are milliseconds. A deadline is a point in time on the caller's clock, a timeout a
+duration. An attempt is one transmission of a request to a server, and its answer is the server's response.
+The final answer to a request is the only response that its client gets: a server's answer, a refusal or a
+failure.
 """
 
 from __future__ import annotations
@@ -58,7 +63,7 @@
 
 
 class ListKind(Enum):
-    """What a server list event holds: changes only, a complete list, a stored complete list or no list."""
+    """What a server list event holds: changes only, a full list, a cached full list or no list."""
 
     DELTA = "delta"
     FULL = "full"
@@ -70,19 +75,19 @@
 class RequestClass:
     """A class of requests.
 
-    `aim_ms` is the aim, the latency within which an answer should come, and `deadline_ms` the longest that
-    a client waits for it. `aim_stretch` lengthens the aim by the request's own work; the decision module
-    only checks whether it is above 0. `worth` is the value of an answer within the aim, relative to other
-    classes, and `late_worth` that of a later answer. `stream` tells that answers are streamed. If
-    `late_worth` is low, `aim_stretch` is 0 and answers are not streamed, attempts end at the aim instead of
-    the deadline.
+    `aim_ms` is the aim, the latency within which an answer should come, and `max_client_timeout_ms` the
+    longest that a client waits for it. `aim_stretch` lengthens the aim by the request's own work; the
+    decision module only checks whether it is above 0. `worth` is the value of an answer within the aim,
+    relative to other classes, and `late_worth` that of a later answer. `stream` tells that answers are
+    streamed. If `late_worth` is low, `aim_stretch` is 0 and answers are not streamed, attempts end at the aim
+    instead of the request's deadline.
 
     Servers in the `dedup_scope` recognise the repeats of a deduplicated request for `window_ms`, counted
     from the first attempt that may have run. `name` is the name of the class in HTTP requests.
     """
 
     aim_ms: float
-    deadline_ms: float
+    max_client_timeout_ms: float
     effect: RetrySafety
     dedup_scope: DedupScope
     window_ms: float
@@ -309,7 +314,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """Action: final answer; a retry is harmless, best after `retry_after_ms` (0: no advice)."""
+    """Action: refuse the request, as its final answer.
+
+    A client's retry is harmless, best after `retry_after_ms` (0: no advice).
+    """
 
     request_id: int
     retry_after_ms: float = 0.0
@@ -317,7 +325,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """Action: final answer that does not tell whether the request ran or may be retried."""
+    """Action: fail the request, as its final answer, without telling whether it ran or may be retried."""
 
     request_id: int
 
--- a/ironstage/latency.py
+++ b/ironstage/latency.py
@@ -1,5 +1,7 @@
 """Latency statistics over a moving window, with unanswered attempts as censored observations.
 
+`ironstage.policy` derives from them the lane caps, its caps on outstanding requests.
+
 The latency of an attempt that timed out or is still outstanding is only known to exceed the time elapsed so
 far. Counting that time as a latency biases the estimate low when clients have short deadlines: an overloaded
 back end then looks fast, and its lane caps are lifted. The weight of a censored observation is therefore
@@ -49,7 +51,7 @@
 
 
 def weighted_mean_ms(weighted_observations: list[tuple[float, float, bool]]) -> float:
-    """Return the restricted mean of the latency; 0 without observations.
+    """Return the restricted mean of the latency in ms; 0 without observations.
 
     Latencies beyond the longest elapsed time count as that time, as nothing is known about them.
     """
@@ -62,7 +64,7 @@
 
 
 def weighted_p10_ms(weighted_observations: list[tuple[float, float, bool]]) -> float:
-    """Return the 10th percentile of the latency; 0 without observations."""
+    """Return the 10th percentile of the latency in ms; 0 without observations."""
     target_weight, cumulative_weight = sum(weight for _, weight, _ in weighted_observations) / 10.0, 0.0
     for elapsed_ms, weight, _ in weighted_observations:
         cumulative_weight += weight
--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -1,4 +1,7 @@
-"""The client side: accepts connections, parses and validates requests, writes responses in request order."""
+"""The client side: accepts connections, parses and validates requests, writes responses in request order.
+
+`ironstage.net.limiter` gets the valid requests and answers them. Fields that end in `_s` are seconds.
+"""
 
 from __future__ import annotations
 
@@ -29,16 +32,16 @@
 # For reading a whole request, from its first byte; for the first request of a connection, from the connect.
 # A connection that takes longer is closed.
 REQUEST_READ_TIMEOUT_S = 2.0
-LINGER_TIMEOUT_S = 1.0  # how long the sender of a rejected request may go on before its connection is aborted
+LINGER_TIMEOUT_S = 1.0  # how long a client may go on sending a rejected request; then it is disconnected
 MIN_DRAIN_LISTEN_S = 0.45  # new connections arrive for up to 0.4 s after SIGTERM
 LISTEN_QUIET_PERIOD_S = 0.1  # a drain stops listening only this long after the last new connection
-MAX_DRAIN_LISTEN_S = 0.6
+MAX_DRAIN_LISTEN_S = 0.6  # however many connections still arrive
 # A new connection is kept this long for its first request, also at the connection limit and in a drain.
 FIRST_REQUEST_GRACE_S = 0.3
 FINAL_FLUSH_TIMEOUT_S = 0.2  # for writing what is buffered, after all connections were told to close
 
 CUSTOMER_ID_PATTERN = re.compile(rb"[0-9A-Fa-f]{16}")
-REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+CLIENT_REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 DECIMAL_PATTERN = re.compile(rb"[0-9]{1,9}(\.[0-9]{1,9})?")
 INTEGER_PATTERN = re.compile(rb"[0-9]{1,5}")
 FIRST_PATH_SEGMENT_PATTERN = re.compile(rb"/([^/?#]*)")
@@ -62,7 +65,7 @@
 
 
 class BadRequestError(Exception):
-    """A request failed validation; the message is the body of the response with `status_code`."""
+    """A request is invalid; the message is the body of the response with `status_code`."""
 
     def __init__(self, status_code: int, message: str) -> None:
         super().__init__(message)
@@ -107,7 +110,7 @@
 class RequestValidator:
     """Validates requests against the settings.
 
-    A request that fails is answered at once. The limiter never sees it, so it counts against no quota.
+    An invalid request is answered at once. The limiter never sees it, so it counts against no quota.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -128,7 +131,7 @@
         class_index, retry_safety = self._class_by_name[path[1]]
         self._check_method(method, retry_safety, headers, has_body)
         client_request_id = headers.get(b"req-id", b"")
-        if not REQUEST_ID_PATTERN.fullmatch(client_request_id):
+        if not CLIENT_REQUEST_ID_PATTERN.fullmatch(client_request_id):
             raise BadRequestError(400, "Req-Id is missing or wrong")
         plan_index, api_key = (
             self._plan_index_by_name.get(headers.get(b"x-tier", b"")),
--- a/ironstage/net/config.py
+++ b/ironstage/net/config.py
@@ -24,7 +24,8 @@
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 DEFAULT_SERVER_IDLE_TIMEOUT_MS = 15_000.0
 DEFAULT_MAX_RETRY_AFTER_MS = 500.0
-# Default and upper bound: with request and response bodies of 64 KiB, so many requests fit into the memory.
+# Default and upper bound of `maxOpen`: so many requests, with request and response bodies of 64 KiB, fit into
+# the memory.
 MAX_OPEN_REQUEST_COUNT = 1000
 
 
@@ -37,9 +38,9 @@
     """The configuration of a limiter.
 
     `sockets` is the number of file descriptors that the limiter may use. `max_buffered_body_bytes` bounds
-    the client request bodies held at a time, and `max_open` the requests without an answer. The ids of the
+    the client request bodies held at a time, and `max_open` the unanswered requests. The ids of the
     `zones` are their positions. A server closes a connection that has been idle for `server_idle_timeout_s`.
-    `known` is the last known list of servers, in discovery's JSON format.
+    `known` is the last known host list, in discovery's JSON format.
     """
 
     name: str
--- a/ironstage/net/discovery.py
+++ b/ironstage/net/discovery.py
@@ -1,7 +1,8 @@
 """Service discovery: the list of servers, and a watch for its changes that reconnects with backoff.
 
 A watch is one chunked HTTP/1.1 response of the discovery agent that does not end. Each line is a host list
-in JSON or is empty, and any data is a heartbeat. Fields that end in `_s` are seconds.
+in JSON or is empty, and any data is a heartbeat. Fields that end in `_s` are seconds. A host is a server as
+discovery describes it; `ironstage.net.limiter` turns host lists into the decision module's server lists.
 """
 
 from __future__ import annotations
@@ -246,7 +247,7 @@
         request = f"GET /discovery/hosts?follow=1&since={self.seq} HTTP/1.1\r\nHost: {host}:{port}\r\n\r\n"
         transport.write(request.encode())
         try:
-            # TCP does not report that the other machine vanished: only missing heartbeats show it.
+            # TCP does not report that the other machine became unreachable: only missing heartbeats show it.
             while (
                 not stream.ended.done()
                 and (remaining_s := stream.last_received_s + HEARTBEAT_TIMEOUT_S - loop.time()) > 0
--- a/ironstage/net/limiter.py
+++ b/ironstage/net/limiter.py
@@ -1,7 +1,8 @@
 """The limiter: translates between the network and the decision module, `ironstage.policy`.
 
-Client requests, server responses and server lists become the module's events; its actions become
-messages to servers and answers to clients.
+Client requests, server responses and host lists become the module's events; its actions become
+messages to servers and responses to clients. Host lists are those of service discovery and of the
+configuration; the decision module gets them as server lists.
 """
 
 from __future__ import annotations
@@ -29,12 +30,12 @@
 # The decision module's clock starts at this value, not at 0, so that servers that started before the limiter
 # have a start time above 0: one of 0 or less means "long ago".
 CLOCK_START_MS = 1e9
-# The decision module's deadline is this much before the client's, as the answer takes time to arrive, but not
-# before half of the client's timeout has passed.
+# The decision module's deadline is this much before the client's, as the response takes time to arrive, but
+# not before half of the client's timeout has passed.
 RESPONSE_MARGIN_S = 0.010
 PROBE_TIMEOUT_S = 0.25
 MAX_LOAD_REPORT_VALUE = 10_000.0  # of any field; no server holds or serves more
-# Connections to servers may use this part of the unreserved descriptors; clients' connections get the rest.
+# Fraction of the unreserved descriptors for connections to servers; clients' connections get the rest.
 SERVER_CONNECTION_FRACTION = 0.4
 RESERVED_DESCRIPTOR_COUNT = 32  # for the listener, the discovery watch, the event loop and the log
 
@@ -61,7 +62,7 @@
 class RequestMetadata:
     """What a client's headers state about its request.
 
-    `client_request_id` is the Req-Id, and `client_timeout_s` how long the client waits for an answer. The
+    `client_request_id` is the Req-Id, and `client_timeout_s` how long the client waits for a response. The
     other fields are passed to the decision module: see `ironstage.interface.RequestArrived`.
     """
 
@@ -80,7 +81,7 @@
 
     An `at_most_once` request must not be retried after a broken attempt. `deadline_ms` is the decision
     module's deadline; `deadline_timer` expires at the client's. `attempts` holds None for each attempt
-    that has ended. `is_open` turns false once the request has its answer or lost its client.
+    that has ended. `is_open` turns false once the request has its response or lost its client.
     """
 
     client_request: ClientRequest
@@ -109,8 +110,8 @@
 class Limiter:
     """Holds the pending requests, the server ids and the clock; the decision module makes the decisions.
 
-    `open_request_count` counts the requests without an answer. `cached_list_seq` is the version of the
-    server list in the configuration, 0 without one.
+    `open_request_count` counts the unanswered requests. `cached_list_seq` is the version of the host list
+    in the configuration, 0 without one.
     """
 
     def __init__(self, config: Config) -> None:
@@ -139,11 +140,11 @@
         self._load_cached_list(config)
 
     def _load_cached_list(self, config: Config) -> None:
-        """Apply the server list in the configuration, which serves until discovery delivers one."""
+        """Apply the host list in the configuration, which is used until discovery delivers one."""
         try:
             host_list = parse_host_list(config.known)[0]
         except ValueError as error:
-            log.warning("invalid server list in the configuration, ignoring it: %s", error)
+            log.warning("invalid host list in the configuration, ignoring it: %s", error)
             return
         self.cached_list_seq = host_list.seq
         self._apply_list(host_list, api.ListKind.CACHED)
@@ -164,18 +165,18 @@
         return self._servers.any_ready()
 
     def submit(self, client_request: ClientRequest, metadata: RequestMetadata) -> int:
-        """Accept a request, which gets exactly one answer by its client's timeout, and return its id."""
+        """Accept a request, which gets exactly one response by its client's deadline; return its id."""
         self._last_request_id += 1
         if self.open_request_count >= self._max_open_requests:
             client_request.answer(503)
             return self._last_request_id
         if metadata.client_request_id in self._open_client_request_ids:
-            # A server would take it for a duplicate of the open request with this id.
+            # A server would take it for a duplicate of the open request with this client request id.
             client_request.answer(409)
             return self._last_request_id
         request_id, now_ms = self._last_request_id, self._now_ms()
         request_class = self._settings.classes[metadata.class_index]
-        timeout_s = min(metadata.client_timeout_s, request_class.deadline_ms / 1000)
+        timeout_s = min(metadata.client_timeout_s, request_class.max_client_timeout_ms / 1000)
         deadline_ms = now_ms + max(timeout_s - RESPONSE_MARGIN_S, timeout_s / 2) * 1000
         deadline_timer = asyncio.get_running_loop().call_at(
             self._to_loop_time(now_ms) + timeout_s, partial(self._handle_deadline, request_id)
@@ -209,11 +210,11 @@
             self._dispatch(api.RequestAbandoned(request_id))
 
     def apply_host_list(self, host_list: HostList) -> None:
-        """Apply a list from discovery: all servers if it is whole, else changes only."""
+        """Apply a host list from discovery: a full list if it is `whole`, else changes only."""
         self._apply_list(host_list, api.ListKind.FULL if host_list.whole else api.ListKind.DELTA)
 
     def _apply_list(self, host_list: HostList, kind: api.ListKind) -> None:
-        """Pass a list to the decision module, and remove the servers that are gone."""
+        """Pass a host list to the decision module as a server list, and remove the servers that are gone."""
         servers = tuple(self._register_server(host) for host in host_list.hosts)
         self._dispatch(api.ServerList(kind, servers))
         gone_names = {host.name for host in host_list.hosts if host.state is ServerState.GONE}
@@ -223,7 +224,7 @@
             self._servers.remove(self._server_ids.pop(name))
 
     def _register_server(self, host: Host) -> api.Server:
-        """Add or update a listed server and return it as the decision module sees it."""
+        """Add or update the server of a host list entry and return it as the decision module sees it."""
         if (server_id := self._server_ids.get(host.name)) is None:
             server_id = self._server_ids[host.name] = next(self._server_id_counter)
         zone_id = self._zone_ids.setdefault(host.zone, len(self._zone_ids))
@@ -376,7 +377,7 @@
             server_id, PROBE_REQUEST, self._to_loop_time(sent_ms) + PROBE_TIMEOUT_S, on_probe_end
         )
 
-    # --- Answers to clients --------------------------------------------------------------------
+    # --- Responses to clients ------------------------------------------------------------------
     def _answer(self, request_id: int, status_code: int, retry_after_s: float = 0.0) -> None:
         """Answer a request that is still open, and close it."""
         if (pending := self._requests.get(request_id)) and pending.is_open:
@@ -384,7 +385,7 @@
             pending.client_request.answer(status_code, retry_after_s=retry_after_s)
 
     def _close_request(self, request_id: int, pending: _PendingRequest) -> None:
-        """Close a request that has its answer or lost its client; its attempts may still be outstanding."""
+        """Close a request that has its response or lost its client; its attempts may still be outstanding."""
         pending.is_open = False
         pending.deadline_timer.cancel()
         self.open_request_count -= 1
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -1,4 +1,6 @@
-"""The server side: HTTP/1.1 attempts over pooled connections. Nothing is retried here.
+"""The server side: HTTP/1.1 attempts over pooled connections.
+
+Nothing is retried here; `ironstage.policy` decides on retries.
 
 Fields that end in `_s` are seconds; points in time are on the monotonic clock, as the event loop's are.
 """
@@ -432,8 +434,8 @@
     def record_broken_connection(self, prior_idle_s: float) -> None:
         """Lower the bound on reuse after a connection broke under an attempt without any response.
 
-        `prior_idle_s` is how long it had been idle before: other idle connections may have been dropped
-        after that time, too, without this side noticing. 0, for a new connection, tells nothing.
+        `prior_idle_s` is how long it had been idle before. Other idle connections may have been dropped
+        after as long a time, without this side noticing. 0, for a new connection, tells nothing.
         """
         if prior_idle_s > 0:
             self._max_idle_s = min(
--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -6,8 +6,9 @@
 
 - Quota: a customer's requests are admitted with a probability, the admission share, which follows from its
   metered use. Where the estimated level of its token bucket is high, requests are admitted regardless.
-- Lanes: classes with tight latency aims are in lane one, the others in lane two. The back end's outstanding
-  requests of each lane are capped by the thresholds of de Waal's report BS-R9025 (Section 3).
+- Lanes: classes with tight latency aims are in lane one, the others in lane two. The outstanding requests of
+  each lane at the back end, which is all servers together, are capped by the thresholds of de Waal's report
+  BS-R9025 (Section 3).
 - Servers: the server with the least outstanding requests of a random sample is chosen. Servers that fail
   become suspects, which get only occasional trial requests. Servers that started recently are cold and get
   less traffic (slow start).
@@ -41,7 +42,8 @@
 # by chance, while their sum over all gateways hardly does.
 CAP_MARGIN_STDDEVS = 1.5
 MIN_LANE_CAP_REQUESTS = 0.2  # above 0, because a lane without ended attempts could never open again
-# Bound on lane one's mean latency, as a fraction of its aim: most answers shall be within the aim, not half.
+# Bound on lane one's mean latency, as a fraction of its aim. With a mean equal to the aim, only about
+# half of the answers would be within the aim.
 MEAN_LATENCY_BOUND_AIM_FRACTION = 0.15
 SAME_LANE_AIM_FACTOR = 1.34  # classes with aims up to this multiple of the tightest aim are in lane one
 END_AT_AIM_MAX_LATE_WORTH = 0.3  # up to this late worth, a class's attempts end at the aim
@@ -101,8 +103,8 @@
 # --- Constants: lost answers and late client retries ----------------------------------------------
 # Heavy answer loss: more than this fraction of the attempts time out although answers come quickly.
 HEAVY_LOSS_MIN_ATTEMPT_FRACTION = 0.15
-# A timeout after less than this quantile of the answer times is no evidence of a lost answer. The answers
-# beyond the quantile are fewer than the missing answers that make a heavy loss.
+# A timeout after less than this quantile of the answer times is no evidence of a lost answer. The fraction of
+# the answers that take longer is below HEAVY_LOSS_MIN_ATTEMPT_FRACTION.
 ANSWER_LOSS_MIN_WAIT_QUANTILE = 0.9
 # Answers come quickly if three in four take less than this fraction of the tightest aim.
 FAST_ANSWER_AIM_FRACTION = 0.25
@@ -127,7 +129,7 @@
 AMPLE_LEVEL_BURST_FRACTION = 0.5
 
 # --- Constants: server health, load and choice ----------------------------------------------------
-# With a larger fraction of the ready servers suspect, the back end is slow; the servers are not lost.
+# With a larger fraction of the ready servers suspect, the servers are taken to be slow, not unreachable.
 OVERLOAD_SUSPECT_FRACTION = 0.6
 INITIAL_MEAN_LATENCY_MS = 200.0  # assumed before any observation
 TRIAL_BACKOFF_MS = 1000.0  # wait before a suspect's first trial; grows with each trial that fails
@@ -135,7 +137,7 @@
 TRIAL_BACKOFF_MAX_FACTOR = 8.0  # largest multiple of the first wait, times `gateway_count_factor`
 # Waits and cap margins are not scaled for up to this many gateways: a suspect can bear the trials of all.
 MAX_UNSCALED_GATEWAY_COUNT = 4
-MAX_JITTER_FRACTION = 0.3  # largest addition to a wait, as many gateways notice a lost server at once
+MAX_JITTER_FRACTION = 0.3  # largest addition to a wait, as many gateways notice a failure together
 # Errors without a success in between that make a server suspect: a server that fails at once looks idle and
 # would draw all traffic.
 SUSPECT_ERROR_COUNT = 2
@@ -507,7 +509,8 @@
     def can_expire(self, now_ms: float, over_limit: bool) -> bool:
         """Return whether a new record of this customer would be the same, so that this one can be removed.
 
-        If `over_limit`, only outstanding attempts and the ceiling bucket prevent the removal.
+        If `over_limit`, there are too many customers, and only outstanding attempts and the ceiling bucket
+        prevent the removal.
         """
         if self.outstanding_count or self.ceiling_bucket.refill(now_ms) < self.ceiling_bucket.depth:
             return False
@@ -688,7 +691,7 @@
         self.admitted_times_ms: deque[float] = deque()
 
     def apply_server_list(self, now_ms: float, event: api.ServerList) -> None:
-        """Apply a server list; a complete list removes the servers that it does not name.
+        """Apply a server list; a full list removes the servers that it does not name.
 
         The cost of a change is proportional to the number of its entries, not to the number of servers.
         """
@@ -846,13 +849,13 @@
         self,
         now_ms: float,
         is_allowed: Callable[[TrackedServer], bool],
-        tried_ids: set[int],
+        tried_server_ids: set[int],
         allow_avoided: bool = True,
     ) -> TrackedServer | None:
         """Return the server of least cost in a random sample, or None if none is allowed.
 
         Sampling avoids herding. All servers are considered if each one in the sample is avoided, not allowed
-        or in `tried_ids`.
+        or in `tried_server_ids`.
 
         An avoided server is chosen only if no other is left, and not at all unless `allow_avoided`. Of the
         avoided servers, the one whose avoidance ends first is chosen. By cost, all gateways would choose the
@@ -862,7 +865,7 @@
         def rank(server: TrackedServer) -> tuple[float, bool, float]:
             return (
                 self.avoided_until(server, now_ms),
-                server.entry.id in tried_ids,
+                server.entry.id in tried_server_ids,
                 self.selection_cost(server, now_ms),
             )
 
@@ -913,7 +916,7 @@
                 self.mark_suspect(server, now_ms)
             elif event.status in (CallStatus.OK, CallStatus.ERROR):
                 self.clear_suspicion(server, now_ms)
-        # A server that answered nothing during a whole attempt may have vanished, and one that refuses a
+        # A server that answered nothing during a whole attempt may be unreachable, and one that refuses a
         # connection is down.
         is_silent = event.status is CallStatus.TIMEOUT and server.last_answer_ms < now_ms - event.elapsed_ms
         if event.status is CallStatus.REJECTED:
@@ -987,7 +990,7 @@
     def mostly_suspect(self) -> bool:
         """Return whether most servers are suspect, which is taken for an overload.
 
-        Timeouts then count as latencies, which is wrong if most servers have really vanished.
+        Timeouts then count as censored latencies, which is wrong if most servers are really unreachable.
         """
         return len(self.suspects) > OVERLOAD_SUSPECT_FRACTION * len(self.ready_servers)
 
@@ -997,7 +1000,7 @@
 class Request:
     """A request that has no final answer yet, or still has outstanding attempts.
 
-    `open` tells that the request has no final answer yet, and `streaming` that the client has received the
+    `is_open` tells that the request has no final answer yet, and `streaming` that the client has received the
     first part of a streamed answer.
     """
 
@@ -1007,7 +1010,7 @@
     useful_until_ms: float  # an answer after this time is worth nothing
     customer: Customer
     attempts: list[Attempt] = field(default_factory=list)
-    open: bool = True
+    is_open: bool = True
     streaming: bool = False
 
     def outstanding_count(self) -> int:
@@ -1044,9 +1047,10 @@
         self.meter_clock = MeterClock(settings.metering_ms)
         self.requests: dict[int, Request] = {}
         self.lane_caps: tuple[float, float] = (INF, INF)
-        # By lane: outstanding attempts, and timed-out attempts that the servers are taken to work on still.
+        # By lane: one slot for each outstanding attempt, and one for each timed-out attempt that its server
+        # is assumed to be still working on.
         self.occupied_slots = [0, 0]
-        # Heap of (release time in ms, lane): slots held by attempts that timed out.
+        # Heap of (release time in ms, lane): the slots of attempts that timed out.
         self.timed_out_slots: list[tuple[float, int]] = []
         self.latency_window = latency.ObservationWindow(
             LOAD_WINDOW_MS, MAX_OBSERVATION_AGE_MS, MIN_OBSERVATION_COUNT
@@ -1056,7 +1060,7 @@
         # Requests that the quota admitted: time in ms, lane, units.
         self.admitted_arrivals: deque[tuple[float, int, float]] = deque()
         self.mean_occupied_slots, self.mean_slots_updated_ms = [0.0, 0.0], -INF  # by lane
-        self.first_request_ms = INF
+        self.first_arrival_ms = INF
         self.thresholds_updated_ms = -INF
         self.last_rejection_ms = -INF  # by any server
         self.heavy_answer_loss = False  # many answers get lost, although the others come quickly
@@ -1114,7 +1118,7 @@
             del self.customers[customer_id]
 
     def _on_server_list(self, now_ms: float, event: api.ServerList) -> None:
-        """Apply a server list; subscribe to changes if it is a stored list or none was delivered."""
+        """Apply a server list; subscribe to changes if it is a cached list or none was delivered."""
         self.fleet.apply_server_list(now_ms, event)
         self.started_ms = min(self.started_ms, now_ms)
         if self.settings.must_subscribe and event.kind in (api.ListKind.CACHED, api.ListKind.FAILED):
@@ -1122,7 +1126,7 @@
 
     def _on_request_arrived(self, now_ms: float, event: api.RequestArrived) -> None:
         """Check quota and lane cap and send the first attempt; refuse at once if any of these fails."""
-        self.first_request_ms = min(self.first_request_ms, now_ms)
+        self.first_arrival_ms = min(self.first_arrival_ms, now_ms)
         request_class = self.settings.classes[event.class_index]
         customer = self.customers.pop(event.customer_id, None)
         if customer is None:
@@ -1194,9 +1198,9 @@
 
         The aim is counted from the client's first request. No client waits past the deadline of that
         request. So a request with a shorter wait than first requests is a retry, and the time by which its
-        wait is shorter than the class's deadline has already passed. A request that was delayed on its way
-        looks the same. The drawback: first requests of clients that wait for less time than others are taken
-        for retries, and get only what the customer's bucket has to spare.
+        wait is shorter than the class's longest client timeout has already passed. A request that was delayed
+        on its way looks the same. The drawback: first requests of clients that wait for less time than others
+        are taken for retries, and get only what the customer's bucket has to spare.
         """
         request_class, waits_ms, wait_ms = (
             self.settings.classes[event.class_index],
@@ -1204,7 +1208,7 @@
             event.deadline_ms - now_ms,
         )
         waits_ms.append(wait_ms)
-        time_left_ms = request_class.aim_ms - (request_class.deadline_ms - wait_ms)
+        time_left_ms = request_class.aim_ms - (request_class.max_client_timeout_ms - wait_ms)
         if (
             time_left_ms
             >= min(self.fleet.mean_latency_ms, LATE_CLIENT_RETRY_AIM_FRACTION * request_class.aim_ms)
@@ -1247,10 +1251,10 @@
             else earlier_entry.cell == server.entry.cell
         )
 
-    def _send_attempt(self, now_ms: float, request: Request, tried_ids: set[int]) -> bool:
+    def _send_attempt(self, now_ms: float, request: Request, tried_server_ids: set[int]) -> bool:
         """Send an attempt if every rule on sending allows it; no other method sends."""
         arrival, is_first_attempt = request.arrival, not request.attempts
-        if not request.open or request.streaming or now_ms >= request.useful_until_ms:
+        if not request.is_open or request.streaming or now_ms >= request.useful_until_ms:
             return False
         if len(request.attempts) >= self.settings.max_attempts:
             return False
@@ -1266,7 +1270,7 @@
         server = self.fleet.choose_server(
             now_ms,
             lambda candidate: self._may_send_to(request, candidate, now_ms),
-            tried_ids,
+            tried_server_ids,
             is_first_attempt,
         )
         if server is None:
@@ -1303,7 +1307,7 @@
 
         No other method refuses or fails a request.
         """
-        if not request.open or request.streaming:
+        if not request.is_open or request.streaming:
             return
         may_have_run = any(attempt.may_have_run for attempt in request.attempts)
         deduplicated_everywhere = (
@@ -1316,7 +1320,7 @@
             or deduplicated_everywhere
         )
         may_refuse = retry_is_harmless and not (may_have_run and now_ms >= request.useful_until_ms)
-        request_id, request.open = request.arrival.request_id, False
+        request_id, request.is_open = request.arrival.request_id, False
         self.actions.append(
             api.Refuse(request_id, self._retry_after_ms(now_ms, request))
             if may_refuse
@@ -1338,13 +1342,13 @@
 
     def _remove_if_finished(self, request: Request) -> None:
         """Remove a request that has its final answer and no outstanding attempts."""
-        if not request.open and not request.outstanding_count():
+        if not request.is_open and not request.outstanding_count():
             self.requests.pop(request.arrival.request_id, None)
 
     def _on_request_abandoned(self, now_ms: float, event: api.RequestAbandoned) -> None:
         """Cancel the outstanding attempts of a request whose client has gone."""
         if request := self.requests.get(event.request_id):
-            request.open = False
+            request.is_open = False
             self._cancel_outstanding(request)
             self._remove_if_finished(request)
 
@@ -1400,11 +1404,13 @@
         elif event.status is CallStatus.REJECTED:
             self.last_rejection_ms = now_ms
         if event.request_closed:
-            request.open = False
+            request.is_open = False
             self._cancel_outstanding(request)
-        elif request.open and not request.outstanding_count():
-            tried_ids = {earlier_attempt.server_entry.id for earlier_attempt in request.attempts}
-            if event.status is CallStatus.NOT_SENT or not self._send_attempt(now_ms, request, tried_ids):
+        elif request.is_open and not request.outstanding_count():
+            tried_server_ids = {earlier_attempt.server_entry.id for earlier_attempt in request.attempts}
+            if event.status is CallStatus.NOT_SENT or not self._send_attempt(
+                now_ms, request, tried_server_ids
+            ):
                 self._refuse_or_fail(now_ms, request)
         self._remove_if_finished(request)
 
@@ -1452,7 +1458,7 @@
             if lane == 0
         )
         # Timeouts are taken for lost answers, not for overload, if the other answers come quickly. Lost
-        # answers are no sign of load and are worth a retry; the same holds for vanished servers. The
+        # answers are no sign of load and are worth a retry; the same holds for unreachable servers. The
         # drawback: in an overload where only one class times out, the retries add to it. A timeout after a
         # shorter wait than most answers need is evidence of neither.
         timed_out = self.latency_window.censored_observations()
@@ -1519,16 +1525,18 @@
         weighted_by_lane = [
             latency.kaplan_meier_weights(elapsed_pairs) for elapsed_pairs in observations_by_lane
         ]
-        weighted_total = sorted(weighted_by_lane[0] + weighted_by_lane[1])
-        if weighted_total:
-            self.fleet.mean_latency_ms = max(1.0, latency.weighted_mean_ms(weighted_total))
+        weighted_both_lanes = sorted(weighted_by_lane[0] + weighted_by_lane[1])
+        if weighted_both_lanes:
+            self.fleet.mean_latency_ms = max(1.0, latency.weighted_mean_ms(weighted_both_lanes))
         if len(observed) < MIN_OBSERVATION_COUNT or not weighted_by_lane[0]:
             return
         light_latency_ms = [
             self._update_light_load_latency(index, lane) for index, lane in enumerate(weighted_by_lane)
         ]
         # In the queueing model, the mean latency is the light-load latency divided by (1 - utilization).
-        utilization = 1.0 - self._update_light_load_latency(2, weighted_total) / self.fleet.mean_latency_ms
+        utilization = (
+            1.0 - self._update_light_load_latency(2, weighted_both_lanes) / self.fleet.mean_latency_ms
+        )
         arrival_counts = [
             sum(1 for _, lane, _ in self.admitted_arrivals if lane == index) for index in (0, 1)
         ]
@@ -1550,7 +1558,7 @@
         if best_thresholds is None:
             return
         # Corrects the moving average for its start at 0, which would keep it and the caps low for seconds.
-        averaged_fraction = 1.0 - math.exp((self.first_request_ms - now_ms) / LOAD_WINDOW_MS)
+        averaged_fraction = 1.0 - math.exp((self.first_arrival_ms - now_ms) / LOAD_WINDOW_MS)
         # The model holds utilization / (1 - utilization) requests on average. Its thresholds are scaled by
         # the ratio of the requests that really occupy slots to these.
         requests_per_model_request = max(
--- a/ironstage/simulator_protocol.py
+++ b/ironstage/simulator_protocol.py
@@ -7,7 +7,9 @@
 of the body in bytes, current time, number of records) and a body of records. A reply frame is the length of
 its body in bytes and the body. A record is a one-byte code followed by its fields. In both directions a
 record that selects an instance applies to the records after it; a batch may hold the events of several
-simulated gateways. The settings of an instance are a JSON object inside the record that starts it.
+simulated gateways. The settings of an instance are a JSON object inside the record that starts it. The
+configuration file of a limiter holds an object of the same form, which `ironstage.net.config` also parses
+with `parse_settings`.
 """
 
 from __future__ import annotations
@@ -196,7 +198,7 @@
         encoded_usage,
         charged_units,
     ) = reader.unpack(_ATTEMPT_ENDED_HEADER)
-    # The usage is sent as its percentage plus 1; 0 stands for no reading.
+    # The metered use is sent as its percentage plus 1; 0 stands for no reading.
     usage_percent = encoded_usage - 1 if encoded_usage else None
     return api.AttemptEnded(
         request_id,
@@ -396,7 +398,7 @@
         raise ProtocolError(f"settings: {service.path}.dedupScope has an unknown value: {dedup_scope}")
     return api.RequestClass(
         aim_ms=service.get_number("aimMs"),
-        deadline_ms=service.get_number("hardLimitMs"),
+        max_client_timeout_ms=service.get_number("hardLimitMs"),
         effect=RETRY_SAFETY_BY_NAME[effect],
         dedup_scope=api.DedupScope(dedup_scope),
         window_ms=service.get_number("windowMs", 0),
