--- a/ironstage/net/clients.py
+++ b/ironstage/net/clients.py
@@ -269,7 +269,7 @@
             self._transport.close()
 
     def expects_request(self, cutoff_s: float) -> bool:
-        """Whether a request may still arrive in full.
+        """Return whether a request may still arrive in full.
 
         True if the connection was opened after `cutoff_s` and has sent no response yet, or if a request that
         began to arrive after `cutoff_s` is being received.
@@ -279,7 +279,7 @@
         )
 
     def is_stalled(self, cutoff_s: float) -> bool:
-        """Whether a request has been arriving, or the first one has been awaited, since before `cutoff_s`.
+        """Return whether a request has been arriving, or the first one awaited, since before `cutoff_s`.
 
         False while the connection reads no input.
         """
--- a/ironstage/net/servers.py
+++ b/ironstage/net/servers.py
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptResult:
-    """The outcome of an attempt.
+    """The result of an attempt.
 
     `body` and `content_type` are those of the response. `usage_percent` is the customer's metered use in
     percent of its rate, or None without a valid reading; `load_report` is the raw load report, if any.
@@ -68,7 +68,7 @@
 class Attempt:
     """One transmission of an HTTP request to a server; it times out at `deadline_s`.
 
-    `message` is the whole request. `on_end` is called once, with the outcome.
+    `message` is the whole request. `on_end` is called once, with the result.
     """
 
     __slots__ = ("_on_end", "_timer", "connection", "deadline_s", "ended", "message")
@@ -84,7 +84,7 @@
         )
 
     def end(self, result: AttemptResult) -> None:
-        """Report the outcome; calls after the first do nothing."""
+        """End the attempt and report its result; calls after the first do nothing."""
         if not self.ended:
             self.ended = True
             self._timer.cancel()
@@ -248,7 +248,7 @@
     def close_immediately(self) -> None:
         """Close at once: the server sees the close before anything that is sent to it from now on.
 
-        The current attempt, if any, is detached without an outcome: the caller ends it.
+        The current attempt, if any, is detached but not ended: the caller ends it.
         """
         self._attempt = None
         self._stop_partial_response_timer()
--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -70,8 +70,8 @@
 MIN_OWN_BURST_UNITS = 1.0
 
 # --- Constants: admission share and token bucket of a customer ------------------------------------
-PRIOR_USE_RATE_FRACTION = 1.0  # use assumed before the first reading, as a fraction of the rate
-PRIOR_USE_WEIGHT_UNITS = 0.3  # weight of this assumption against readings and own requests
+PRIOR_DEMAND_RATE_FRACTION = 1.0  # demand assumed before the first reading, as a fraction of the rate
+PRIOR_DEMAND_WEIGHT_UNITS = 0.3  # weight of this assumption against readings and own requests
 READING_RETENTION_FACTOR = 0.5  # of earlier readings, at each new one
 OTHERS_PRIOR_USE_RATE_FRACTION = 0.7  # use assumed for all other gateways together
 # Weight of this assumption against own sends, in units. It grows with the customer's gateways, because the
@@ -370,6 +370,8 @@
 class Customer:
     """What this gateway knows of one customer: the evidence on its use and an estimate of its token bucket.
 
+    The customer's demand is all that it requests; its use is what is sent to servers, which the meter counts.
+
     A bucket that is full enough admits requests that the admission share would refuse. This is for bursts
     that the bucket covers, spikes that the meter does not show yet and missing readings. The drawback: it
     may admit wrongly if the gateway's fraction of the customer's traffic is misjudged.
@@ -403,6 +405,7 @@
         self.bucket = TokenBucket(plan.rate, plan.burst, plan.burst, now_ms)
         # Decayed sums over readings: metered time, and use divided by the admission share then in effect.
         self.metered_ms = self.metered_demand_units = 0.0
+        # `own_demand_units` is the decayed sum of the units requested through this gateway.
         self.own_demand_units, self.last_request_ms, self.gateway_started_ms = 0.0, now_ms, gateway_started_ms
         # Each gateway keeps to an equal part of the ceiling without coordination. The bucket is empty at the
         # gateway's start, because an earlier process may have used all of it. It has been refilled since
@@ -448,7 +451,7 @@
             self.plan.rate / 1000.0,
         )
         demand_units = (
-            PRIOR_USE_WEIGHT_UNITS
+            PRIOR_DEMAND_WEIGHT_UNITS
             + self.metered_demand_units * reading_weight
             + self.own_demand_units * math.exp((self.last_request_ms - now_ms) / USE_DECAY_MS)
         )
@@ -461,7 +464,7 @@
             1.0,
             rate_per_ms
             * (
-                PRIOR_USE_WEIGHT_UNITS / (PRIOR_USE_RATE_FRACTION * rate_per_ms)
+                PRIOR_DEMAND_WEIGHT_UNITS / (PRIOR_DEMAND_RATE_FRACTION * rate_per_ms)
                 + self.metered_ms * reading_weight
                 + own_observed_ms
             )
@@ -665,7 +668,7 @@
     next_trial_ms: float = 0.0
     backoff_exponent: int = 0  # of the waits between trials
     consecutive_errors: int = 0  # since its last success
-    avoid_until_ms: float = -INF  # after a rejection
+    rejection_avoidance_end_ms: float = -INF  # avoided until then after a rejection
     reported_load: float = 0.0
     load_reported_ms: float = -INF
     slow_start_tokens: float = 0.0
@@ -841,7 +844,7 @@
         return max(
             now_ms,
             suspect_until_ms,
-            server.avoid_until_ms,
+            server.rejection_avoidance_end_ms,
             last_failure_ms + TRIAL_BACKOFF_MS if failure_count >= ZONE_AVOIDANCE_FAILURE_COUNT else now_ms,
         )
 
@@ -907,7 +910,7 @@
             server.last_answer_ms = now_ms
             self.zone_failures.pop(server.entry.zone, None)
         if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED, CallStatus.RESET):
-            # A single reset may concern only the connection; a dead process also refuses the next connection.
+            # One reset may concern only the connection; a process that has ended also refuses the next connection.
             if event.status is not CallStatus.REJECTED:
                 server.consecutive_errors = (
                     0 if event.status is CallStatus.OK else server.consecutive_errors + 1
@@ -920,7 +923,7 @@
         # connection is down.
         is_silent = event.status is CallStatus.TIMEOUT and server.last_answer_ms < now_ms - event.elapsed_ms
         if event.status is CallStatus.REJECTED:
-            server.avoid_until_ms = (
+            server.rejection_avoidance_end_ms = (
                 now_ms + REJECTION_AVOIDANCE_MS * self.gateway_count_factor * self._jitter_factor()
             )
             if server.suspect:  # alive, but overloaded by its present work
@@ -1023,7 +1026,7 @@
 
 
 def split_lanes(classes: tuple[api.RequestClass, ...]) -> list[int]:
-    """Return the lane of each class: 0 for the tightest aims, 1 for the others.
+    """Return the lane index of each class: 0 (lane one) for the tightest aims, 1 (lane two) for the others.
 
     Classes whose aims hardly differ share a lane, because capping one class for the sake of a similar one
     loses more than it gains.
@@ -1057,7 +1060,7 @@
         )
         self.answer_time_distributions = [latency.AnswerTimeDistribution() for _ in settings.classes]
         self.light_load_latency_ms = [INF, INF, INF]  # of lane one, of lane two, of both
-        # Requests that the quota admitted: time in ms, lane, units.
+        # Requests that the quota admitted: time in ms, lane index, units.
         self.admitted_arrivals: deque[tuple[float, int, float]] = deque()
         self.mean_occupied_slots, self.mean_slots_updated_ms = [0.0, 0.0], -INF  # by lane
         self.first_arrival_ms = INF
