--- a/ironstage/policy.py
+++ b/ironstage/policy.py
@@ -910,7 +910,8 @@
             server.last_answer_ms = now_ms
             self.zone_failures.pop(server.entry.zone, None)
         if event.status in (CallStatus.OK, CallStatus.ERROR, CallStatus.REJECTED, CallStatus.RESET):
-            # One reset may concern only the connection; a process that has ended also refuses the next connection.
+            # A single reset may concern only the connection; a process that has ended also refuses the next
+            # connection.
             if event.status is not CallStatus.REJECTED:
                 server.consecutive_errors = (
                     0 if event.status is CallStatus.OK else server.consecutive_errors + 1
