--- a/tests/sockets.py
+++ b/tests/sockets.py
@@ -1,4 +1,4 @@
-"""Test support: a limiter on loopback, servers and a discovery agent that tests control, raw HTTP clients."""
+"""Test support on loopback: a limiter, servers and a discovery agent that tests control, raw HTTP clients."""
 
 from __future__ import annotations
 
@@ -147,12 +147,12 @@
 @contextlib.asynccontextmanager
 async def backend(handler: RequestHandler | None = None) -> AsyncIterator[Backend]:
     """Run a `Backend` on a free port of loopback."""
-    started = Backend(handler)
-    server = await asyncio.start_server(started._serve, "127.0.0.1", 0)
+    running_backend = Backend(handler)
+    server = await asyncio.start_server(running_backend._serve, "127.0.0.1", 0)
     host, port = server.sockets[0].getsockname()
-    started.address = f"{host}:{port}"
+    running_backend.address = f"{host}:{port}"
     try:
-        yield started
+        yield running_backend
     finally:
         server.close()
 
@@ -166,7 +166,7 @@
 
 # --- Discovery ------------------------------------------------------------------------------------
 def host_entry(name: str, dial: str, health: str = "active", born_ms: float = 0) -> dict[str, Any]:
-    """Return a server's entry in discovery's list; `born_ms` is Unix time, 0 for a start long ago."""
+    """Return a server's entry in a host list; `born_ms` is the Unix time of its start, 0 for long ago."""
     return {
         "host": name,
         "dial": dial,
@@ -180,7 +180,7 @@
 
 
 def host_list(seq: int, *hosts: dict[str, Any], whole: bool = True) -> dict[str, Any]:
-    """Return version `seq` of discovery's list: a full list if `whole`, else changes only."""
+    """Return version `seq` of the host list: all hosts if `whole`, else changes only."""
     return {"seq": seq, "whole": whole, "hosts": list(hosts)}
 
 
@@ -216,11 +216,11 @@
 @contextlib.asynccontextmanager
 async def discovery_agent() -> AsyncIterator[DiscoveryAgent]:
     """Run a `DiscoveryAgent` on a free port of loopback."""
-    started = DiscoveryAgent()
-    server = await asyncio.start_server(started._serve, "127.0.0.1", 0)
-    started.address = server.sockets[0].getsockname()
+    running_agent = DiscoveryAgent()
+    server = await asyncio.start_server(running_agent._serve, "127.0.0.1", 0)
+    running_agent.address = server.sockets[0].getsockname()
     try:
-        yield started
+        yield running_agent
     finally:
         server.close()
 
@@ -229,7 +229,7 @@
 def make_config(
     *hosts: dict[str, Any], discovery: tuple[str, int] = ("127.0.0.1", 1), **overrides: Any
 ) -> Config:
-    """Return a limiter's configuration with these hosts in its server list; `overrides` replace its fields.
+    """Return a limiter's configuration with these hosts in its host list; `overrides` replace its fields.
 
     `settings` among the overrides replaces top-level keys of `SETTINGS`.
     """
@@ -271,7 +271,7 @@
 async def running_limiter(
     *hosts: dict[str, Any], agent: DiscoveryAgent | None = None, **overrides: Any
 ) -> AsyncIterator[LimiterFixture]:
-    """Run a limiter with these hosts in its configured server list; it watches the `agent`, if given."""
+    """Run a limiter with these hosts in its configured host list; it watches the `agent`, if given."""
     if agent:
         overrides["discovery"] = agent.address
     fixture = LimiterFixture(make_config(*hosts, **overrides))
@@ -329,18 +329,18 @@
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
-    def send(self, raw: bytes) -> None:
+    def send(self, data: bytes) -> None:
         """Send bytes as they are."""
-        self.writer.write(raw)
+        self.writer.write(data)
 
     async def read_response(self) -> Response:
         """Read the next response."""
         status_line, headers, body = await read_http_message(self.reader)
         return Response(int(status_line.split(" ")[1]), headers, body)
 
-    async def request(self, raw: bytes) -> Response:
+    async def request(self, raw_request: bytes) -> Response:
         """Send a request and read the next response."""
-        self.send(raw)
+        self.send(raw_request)
         return await self.read_response()
 
     async def wait_closed(self) -> None:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -25,15 +25,18 @@
 from ironstage.net import clients
 
 
-async def echo(request: ReceivedRequest) -> None:
+async def echo_request_id(request: ReceivedRequest) -> None:
     """Answer a request with its Req-Id as the body."""
     request.reply(body=request.headers["req-id"].encode())
 
 
 def test_request_that_arrives_byte_by_byte() -> None:
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             for byte in build_request("upload", "split", b"body"):
                 client.send(bytes([byte]))
                 await client.writer.drain()
@@ -48,8 +51,8 @@
     """The server answers the requests in reverse order, and the last, invalid one never reaches it."""
 
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             request_ids = [f"id-{n}" for n in range(3)]
             client.send(
                 b"".join(build_request("read", request_id) for request_id in request_ids)
@@ -57,19 +60,22 @@
             )
             held_requests = [await server.request_queue.get() for _ in request_ids]
             for request in sorted(held_requests, key=lambda r: r.headers["req-id"], reverse=True):
-                await echo(request)
+                await echo_request_id(request)
             assert [(await client.read_response()).body.decode() for _ in request_ids] == request_ids
             assert (await client.read_response()).status_code == 400
 
     run(test())
 
 
-def test_more_pipelined_requests_than_are_read_ahead() -> None:
-    """Requests that wait in the socket while reading is paused are answered, too."""
+def test_pipelined_requests_beyond_the_read_ahead_limit_are_answered() -> None:
+    """Requests beyond the limit wait in the socket until reading resumes."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             request_ids = [f"id-{n}" for n in range(40)]
             for request_id in request_ids:
                 client.send(build_request("read", request_id))
@@ -123,28 +129,31 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "status_code"), INVALID_REQUESTS)
-def test_invalid_request_is_answered_and_reaches_no_server(raw: bytes, status_code: int) -> None:
-    """The connection stays open for further requests."""
+@pytest.mark.parametrize(("raw_request", "status_code"), INVALID_REQUESTS)
+def test_invalid_request_is_answered_and_reaches_no_server(raw_request: bytes, status_code: int) -> None:
+    """The error is sent at once, and the connection stays open for further requests."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
-            assert (await client.request(raw)).status_code == status_code
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
+            assert (await client.request(raw_request)).status_code == status_code
             assert (await client.request(build_request(request_id="good"))).body == b"good"
-            assert len(server.requests) == 1 and rig.limiter.open_request_count == 0
+            assert len(server.requests) == 1 and fixture.limiter.open_request_count == 0
 
     run(test())
 
 
 UNREADABLE_REQUESTS: list[tuple[bytes, int]] = [
     (b"nonsense\r\n\r\n", 400),
-    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),
+    (b"\x16\x03\x01\x02\x00\x01\x00\x01\xfc\x03\x03", 400),  # a TLS ClientHello
     (b"GET /read HTTP/9.9\r\n\r\n", 400),
     (build_request("fix", Content_Length="-5"), 400),
     (build_request("fix", Content_Length="2", Transfer_Encoding="chunked"), 400),
-    (build_request(x_tier="gold"), 400),
-    (build_request(x_call_terms="units=1,spread=1,first=0"), 400),
+    (build_request(x_tier="gold"), 400),  # a second X-Tier header with another value
+    (build_request(x_call_terms="units=1,spread=1,first=0"), 400),  # likewise, X-Call-Terms
     (build_request("fix", Content_Length="65537"), 413),
     (build_request("fix", Content_Length="99999999999999999999"), 400),
     (
@@ -160,20 +169,23 @@
 ]
 
 
-@pytest.mark.parametrize(("raw", "status_code"), UNREADABLE_REQUESTS)
-def test_unreadable_request_closes_the_connection(raw: bytes, status_code: int) -> None:
+@pytest.mark.parametrize(("raw_request", "status_code"), UNREADABLE_REQUESTS)
+def test_unreadable_request_closes_the_connection(raw_request: bytes, status_code: int) -> None:
     """Earlier requests on the connection are answered first, and other connections are not affected."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            other_client, client = await rig.connect(), await rig.connect()
-            client.send(build_request(request_id="before") + raw)
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            other_client, client = await fixture.connect(), await fixture.connect()
+            client.send(build_request(request_id="before") + raw_request)
             assert (await client.read_response()).body == b"before"
             response = await client.read_response()
             assert (response.status_code, response.headers["connection"]) == (status_code, "close")
             await client.wait_closed()
             assert (await other_client.request(build_request(request_id="good"))).body == b"good"
-            assert len(server.requests) == 2 and rig.limiter.open_request_count == 0
+            assert len(server.requests) == 2 and fixture.limiter.open_request_count == 0
 
     run(test())
 
@@ -182,8 +194,8 @@
     """Without a lingering close the client would see a connection reset in place of the response."""
 
     async def test() -> None:
-        async with running_limiter(host_entry("a", "127.0.0.1:1")) as rig:
-            client = await rig.connect()
+        async with running_limiter(host_entry("a", "127.0.0.1:1")) as fixture:
+            client = await fixture.connect()
             client.send(build_request("fix", Content_Length="4000000") + b"x" * 4_000_000)
             await client.writer.drain()
             assert (await client.read_response()).status_code == 413
@@ -191,10 +203,13 @@
     run(test())
 
 
-def test_body_of_the_maximum_size() -> None:
+def test_body_of_the_maximum_size_is_accepted() -> None:
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             assert (await client.request(build_request("fix", body=b"x" * 65536))).status_code == 200
             assert server.requests[0].body == b"x" * 65536
 
@@ -205,22 +220,25 @@
     """Nobody waits for the response any more, so the request is not retried either."""
 
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
             client.send(build_request())
             request = await server.request_queue.get()
             client.close()
             await request.wait_closed()
-            assert (len(server.requests), rig.limiter.open_request_count) == (1, 0)
+            assert (len(server.requests), fixture.limiter.open_request_count) == (1, 0)
 
     run(test())
 
 
 @pytest.mark.parametrize("header", [{"Connection": "close"}, {"Connection": "Upgrade", "Upgrade": "h2c"}])
-def test_no_request_is_read_after_connection_close_or_upgrade(header: dict[str, str]) -> None:
+def test_no_request_is_answered_after_connection_close_or_upgrade(header: dict[str, str]) -> None:
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             response = await client.request(
                 build_request(request_id="last", **header) + build_request(request_id="behind")
             )
@@ -230,24 +248,24 @@
     run(test())
 
 
-def test_readiness_check() -> None:
-    """The limiter is ready once it knows a server that requests can be sent to."""
+def test_readiness_check_succeeds_only_with_a_server() -> None:
+    """GET /up answers 503 until the limiter knows a server that requests can be sent to, then 200."""
 
     async def test() -> None:
-        async with running_limiter() as rig:
-            client = await rig.connect()
+        async with running_limiter() as fixture:
+            client = await fixture.connect()
             assert (await client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 503
-        async with running_limiter(host_entry("a", "127.0.0.1:1")) as rig:
-            client = await rig.connect()
+        async with running_limiter(host_entry("a", "127.0.0.1:1")) as fixture:
+            client = await fixture.connect()
             assert (await client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
 
     run(test())
 
 
-def test_request_is_refused_at_once_without_any_server() -> None:
+def test_request_is_refused_at_once_without_servers() -> None:
     async def test() -> None:
-        async with running_limiter() as rig:
-            client = await rig.connect()
+        async with running_limiter() as fixture:
+            client = await fixture.connect()
             assert (await client.request(build_request("fix"))).status_code == 429
 
     run(test())
@@ -256,9 +274,9 @@
 class StubGateway:
     """Replaces the decision module: `act` handles events of the given types, the real module all others."""
 
-    def __init__(self, rig: LimiterFixture, *event_types: type) -> None:
-        self.event_types, self.real_gateway = event_types, rig.limiter._gateway
-        rig.limiter._gateway = self  # type: ignore[assignment]
+    def __init__(self, fixture: LimiterFixture, *event_types: type) -> None:
+        self.event_types, self.real_gateway = event_types, fixture.limiter._gateway
+        fixture.limiter._gateway = self  # type: ignore[assignment]
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         if isinstance(event, self.event_types):
@@ -273,11 +291,14 @@
     """The limiter answers with 504 if the decision module never acts on the request."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            StubGateway(rig, api.RequestArrived)
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            StubGateway(fixture, api.RequestArrived)
+            client = await fixture.connect()
             assert (await client.request(build_request(Req_Deadline="0.1"))).status_code == 504
-            assert rig.limiter.open_request_count == 0
+            assert fixture.limiter.open_request_count == 0
 
     run(test())
 
@@ -296,11 +317,11 @@
             def act(self, event: Any) -> list[api.Action]:
                 raise RuntimeError("a fault of the module")
 
-        async with backend(fail) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
-            gateway = FailingGateway(rig, event_type)
+        async with backend(fail) as server, running_limiter(host_entry("a", server.address)) as fixture:
+            client = await fixture.connect()
+            gateway = FailingGateway(fixture, event_type)
             assert (await client.request(build_request("fix"))).status_code == 500
-            assert rig.limiter.open_request_count == 0
+            assert fixture.limiter.open_request_count == 0
             gateway.event_types = ()
             assert (await client.request(build_request("fix"))).status_code == 502
 
@@ -324,13 +345,16 @@
                 ended_attempts.append(event)
                 return [api.Refuse(1, 250.0)]
 
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            InvalidSendGateway(rig, api.RequestArrived, api.AttemptEnded)
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            InvalidSendGateway(fixture, api.RequestArrived, api.AttemptEnded)
+            client = await fixture.connect()
             response = await client.request(build_request())
             assert (response.status_code, response.headers["retry-after"]) == (429, "0.250")
             assert [
-                (ended.status, ended.attempt_number, ended.request_closed) for ended in ended_attempts
+                (attempt.status, attempt.attempt_number, attempt.request_closed) for attempt in ended_attempts
             ] == [
                 (api.CallStatus.NOT_SENT, 0, False),
                 (api.CallStatus.NOT_SENT, 0, True),
@@ -354,9 +378,12 @@
                 received_events.put_nowait(event)
                 return []
 
-        async with backend(report_load) as server, running_limiter(host_entry("a", server.address)) as rig:
-            ProbingGateway(rig, api.RequestArrived, api.ProbeResult, api.TimerFired)
-            client = await rig.connect()
+        async with (
+            backend(report_load) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            ProbingGateway(fixture, api.RequestArrived, api.ProbeResult, api.TimerFired)
+            client = await fixture.connect()
             assert (await client.request(build_request())).status_code == 502
             events = {
                 type(event): event for event in [await received_events.get(), await received_events.get()]
@@ -368,14 +395,19 @@
     run(test())
 
 
-def test_request_beyond_max_open_is_refused_and_not_sent() -> None:
+def test_request_beyond_max_open_is_refused_at_once() -> None:
+    """The limiter answers 503 without sending the request to a server."""
+
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address), max_open=1) as rig:
-            first_client, second_client = await rig.connect(), await rig.connect()
+        async with (
+            backend() as server,
+            running_limiter(host_entry("a", server.address), max_open=1) as fixture,
+        ):
+            first_client, second_client = await fixture.connect(), await fixture.connect()
             first_client.send(build_request(request_id="one"))
             held_request = await server.request_queue.get()
             assert (await second_client.request(build_request(request_id="two"))).status_code == 503
-            await echo(held_request)
+            await echo_request_id(held_request)
             assert (await first_client.read_response()).body == b"one"
 
     run(test())
@@ -385,18 +417,18 @@
     """At the limit the connection idle for longest is closed; one that waits for its response stays."""
 
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connections = 2
-            busy_client = await rig.connect()
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
+            fixture.clients._max_connections = 2
+            busy_client = await fixture.connect()
             busy_client.send(build_request(request_id="busy"))
             held_request = await server.request_queue.get()
-            idle_client = await rig.connect()
+            idle_client = await fixture.connect()
             assert (await idle_client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
-            third_client = await rig.connect()
+            third_client = await fixture.connect()
             assert (await third_client.request(b"GET /up HTTP/1.1\r\n\r\n")).status_code == 200
             with contextlib.suppress(ConnectionError):
                 await idle_client.wait_closed()
-            await echo(held_request)
+            await echo_request_id(held_request)
             assert (await busy_client.read_response()).body == b"busy"
 
     run(test())
@@ -409,11 +441,14 @@
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connections = 2
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            fixture.clients._max_connections = 2
             request_ids = ["one", "two", "three"]
-            connected_clients = [await rig.connect() for _ in request_ids]
-            await wait_until(lambda: len(rig.clients.idle_connections) == 2)
+            connected_clients = [await fixture.connect() for _ in request_ids]
+            await wait_until(lambda: len(fixture.clients.idle_connections) == 2)
             for request_id, client in zip(request_ids, connected_clients, strict=True):
                 assert (
                     await client.request(build_request(request_id=request_id))
@@ -426,14 +461,18 @@
     """The connection stays idle and does not time out as if a request had begun to arrive."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             assert (await client.request(build_request(request_id="one"))).body == b"one"
-            [connection] = rig.clients._open_connections
+            [connection] = fixture.clients._open_connections
             client.send(b"\r\n")
-            other_client = await rig.connect()  # the limiter reads the empty line while it serves this client
+            # The limiter reads the empty line while it serves the other client.
+            other_client = await fixture.connect()
             assert (await other_client.request(build_request(request_id="other"))).body == b"other"
-            assert connection.request_started_s is None and connection in rig.clients.idle_connections
+            assert connection.request_started_s is None and connection in fixture.clients.idle_connections
             assert (await client.request(build_request(request_id="two"))).body == b"two"
 
     run(test())
@@ -445,39 +484,44 @@
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 60.0)
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            client = await rig.connect()
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            client = await fixture.connect()
             assert (await client.request(build_request(request_id="one"))).body == b"one"
             client.send(build_request(request_id="two")[:-2])
-            await wait_until(lambda: not rig.clients.idle_connections)
-            drain = asyncio.create_task(rig.clients.drain())
-            await wait_until(lambda: rig.clients._listener.fileno() < 0)
+            await wait_until(lambda: not fixture.clients.idle_connections)
+            drain_task = asyncio.create_task(fixture.clients.drain())
+            await wait_until(lambda: fixture.clients._listener.fileno() < 0)
             for _ in range(5):  # lets the drain check its connections a few times
                 await asyncio.sleep(0.01)
             client.send(b"\r\n")
             response = await client.read_response()
             assert (response.body, response.headers["connection"]) == (b"two", "close")
-            await drain
+            await drain_task
 
     run(test())
 
 
-@pytest.mark.parametrize("raw", [b"", build_request()[:20]], ids=["no data", "partial request"])
-def test_stalled_connection_is_closed(raw: bytes) -> None:
+@pytest.mark.parametrize("sent_bytes", [b"", build_request()[:20]], ids=["no data", "partial request"])
+def test_stalled_connection_is_closed(sent_bytes: bytes) -> None:
     """A connection that sends nothing, or never a whole request, would occupy its socket forever."""
 
     async def test() -> None:
-        async with running_limiter(host_entry("a", "127.0.0.1:1")) as rig:
-            client = await rig.connect()
-            client.send(raw)
+        async with running_limiter(host_entry("a", "127.0.0.1:1")) as fixture:
+            client = await fixture.connect()
+            client.send(sent_bytes)
             await wait_until(
-                lambda: bool(rig.clients.receiving_connections if raw else rig.clients.idle_connections)
+                lambda: bool(
+                    fixture.clients.receiving_connections if sent_bytes else fixture.clients.idle_connections
+                )
             )
-            rig.clients.close_stalled_connections()
-            [connection] = rig.clients._open_connections
+            fixture.clients.close_stalled_connections()
+            [connection] = fixture.clients._open_connections
             connection.connected_s -= clients.REQUEST_READ_TIMEOUT_S  # the timeout runs from the connect
-            rig.clients.close_stalled_connections()
-            if raw:
+            fixture.clients.close_stalled_connections()
+            if sent_bytes:
                 assert (await client.read_response()).status_code == 408
             await client.wait_closed()
 
@@ -489,12 +533,15 @@
     monkeypatch.setattr(clients, "FIRST_REQUEST_GRACE_S", 0.05)
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
-            rig.clients._max_connections = 3
-            slow_clients = [await rig.connect() for _ in range(9)]
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            fixture.clients._max_connections = 3
+            slow_clients = [await fixture.connect() for _ in range(9)]
             for client in slow_clients:
                 client.send(build_request()[:20])
-            new_client = await rig.connect()
+            new_client = await fixture.connect()
             assert (await new_client.request(build_request(request_id="late"))).body == b"late"
             assert (await slow_clients[0].read_response()).status_code == 408
 
@@ -505,33 +552,36 @@
     """Only the first is sent to a server; its Req-Id may be used again once it is answered."""
 
     async def test() -> None:
-        async with backend() as server, running_limiter(host_entry("a", server.address)) as rig:
-            first_client, second_client = await rig.connect(), await rig.connect()
+        async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
+            first_client, second_client = await fixture.connect(), await fixture.connect()
             first_client.send(build_request(request_id="same"))
             held_request = await server.request_queue.get()
             assert (await second_client.request(build_request(request_id="same"))).status_code == 409
-            await echo(held_request)
+            await echo_request_id(held_request)
             assert (await first_client.read_response()).body == b"same"
-            server.handler = echo
+            server.handler = echo_request_id
             assert (await second_client.request(build_request(request_id="same"))).body == b"same"
-            assert (len(server.requests), rig.limiter.open_request_count) == (2, 0)
+            assert (len(server.requests), fixture.limiter.open_request_count) == (2, 0)
 
     run(test())
 
 
-def test_request_smuggling() -> None:
-    """A request with both Content-Length and Transfer-Encoding is rejected and nothing after it is read.
+def test_request_smuggling_is_prevented() -> None:
+    """A request with both Content-Length and Transfer-Encoding is rejected, and nothing after it is read.
 
-    What follows could be part of its body to another reader.
+    To another reader of the connection the bytes that follow could be part of its body.
     """
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as rig:
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
             hidden_request = build_request("fix", "hidden")
             for coding in ("chunked", "identity", "x, chunked"):
-                client = await rig.connect()
-                raw = build_request("fix", Content_Length="5", Transfer_Encoding=coding)
-                client.send(raw + b"0\r\n\r\n" + hidden_request)
+                client = await fixture.connect()
+                ambiguous_request = build_request("fix", Content_Length="5", Transfer_Encoding=coding)
+                client.send(ambiguous_request + b"0\r\n\r\n" + hidden_request)
                 assert (await client.read_response()).status_code == 400
                 with contextlib.suppress(ConnectionError):
                     await client.wait_closed()
@@ -541,26 +591,26 @@
 
 
 def test_buffered_bodies_share_one_memory_limit() -> None:
-    """A body beyond the limit is refused; memory is released after the answer or a disconnect."""
+    """A body beyond the limit is refused; memory is released after the response or a disconnect."""
 
     async def test() -> None:
         async with (
             backend() as server,
-            running_limiter(host_entry("a", server.address), max_buffered_body_bytes=100_000) as rig,
+            running_limiter(host_entry("a", server.address), max_buffered_body_bytes=100_000) as fixture,
         ):
-            first_client, second_client, third_client = [await rig.connect() for _ in range(3)]
+            first_client, second_client, third_client = [await fixture.connect() for _ in range(3)]
             first_client.send(build_request("fix", "one", b"x" * 60_000))
             held_request = await server.request_queue.get()
             second_client.send(build_request("fix", "two", b"x" * 60_000)[:-1])
             assert (await second_client.read_response()).status_code == 503
-            await echo(held_request)
+            await echo_request_id(held_request)
             assert (await first_client.read_response()).body == b"one"
             third_client.send(build_request("fix", "three", b"x" * 60_000)[:-1])
-            await wait_until(lambda: rig.clients._buffered_body_bytes > 50_000)
+            await wait_until(lambda: fixture.clients._buffered_body_bytes > 50_000)
             third_client.close()
-            await wait_until(lambda: rig.clients._buffered_body_bytes == 0)
-            server.handler = echo
+            await wait_until(lambda: fixture.clients._buffered_body_bytes == 0)
+            server.handler = echo_request_id
             assert (await first_client.request(build_request("fix", "again", b"x" * 60_000))).body == b"again"
-            assert rig.clients._buffered_body_bytes == 0
+            assert fixture.clients._buffered_body_bytes == 0
 
     run(test())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch over real sockets: how host lists are applied, and how it recovers from failures."""
+"""The watch over real sockets: how host lists are applied, and how the watch recovers from failures."""
 
 from __future__ import annotations
 
@@ -28,19 +28,20 @@
 from ironstage.net.discovery import HostList, Watch, count_discovery_clients, parse_host_list
 
 
-async def echo(request: ReceivedRequest) -> None:
+async def echo_request_id(request: ReceivedRequest) -> None:
+    """Answer a request with its Req-Id as the body."""
     request.reply(body=request.headers["req-id"].encode())
 
 
-def test_drain_during_request() -> None:
-    """A draining server finishes its requests and gets no new ones; its idle connections are closed."""
+def test_draining_server_finishes_its_requests_and_gets_no_new_ones() -> None:
+    """The connections to a draining server are closed once they are idle."""
 
     async def test() -> None:
-        async with backend() as server_a, backend(echo) as server_b, discovery_agent() as agent:
+        async with backend() as server_a, backend(echo_request_id) as server_b, discovery_agent() as agent:
             entry_a = host_entry("a", server_a.address)
             async with running_limiter(entry_a, agent=agent) as fixture:
-                client_a, client_b = await fixture.connect(), await fixture.connect()
-                client_a.send(build_request("fix", "first"))
+                first_client, second_client = await fixture.connect(), await fixture.connect()
+                first_client.send(build_request("fix", "first"))
                 held_request = await server_a.request_queue.get()
                 assert await agent.watch_queries.get() == "/discovery/hosts?follow=1&since=1"
                 agent.send_line(
@@ -53,9 +54,11 @@
                 )
                 await wait_until(lambda: fixture.watch.seq == 2)
                 for index in range(5):
-                    assert (await client_b.request(build_request("fix", f"next-{index}"))).status_code == 200
-                await echo(held_request)
-                assert (await client_a.read_response()).body == b"first"
+                    assert (
+                        await second_client.request(build_request("fix", f"next-{index}"))
+                    ).status_code == 200
+                await echo_request_id(held_request)
+                assert (await first_client.read_response()).body == b"first"
                 await held_request.wait_closed()
                 assert (len(server_a.requests), len(server_b.requests)) == (1, 5)
 
@@ -64,7 +67,11 @@
 
 def test_server_absent_from_full_list_is_gone() -> None:
     async def test() -> None:
-        async with backend(echo) as server_a, backend(echo) as server_b, discovery_agent() as agent:
+        async with (
+            backend(echo_request_id) as server_a,
+            backend(echo_request_id) as server_b,
+            discovery_agent() as agent,
+        ):
             async with running_limiter(host_entry("a", server_a.address), agent=agent) as fixture:
                 await agent.watch_queries.get()
                 client = await fixture.connect()
@@ -80,7 +87,11 @@
 
 def test_watch_resumes_from_last_version_after_disconnect() -> None:
     async def test() -> None:
-        async with backend(echo) as server_a, backend(echo) as server_b, discovery_agent() as agent:
+        async with (
+            backend(echo_request_id) as server_a,
+            backend(echo_request_id) as server_b,
+            discovery_agent() as agent,
+        ):
             async with running_limiter(host_entry("a", server_a.address), agent=agent) as fixture:
                 await agent.watch_queries.get()
                 agent.send_line(host_list(3, host_entry("a", server_a.address), whole=False))
@@ -106,7 +117,7 @@
 
 
 def test_watch_reconnects_after_missing_heartbeats(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without heartbeats the watch reconnects, as the agent's machine may have vanished."""
+    """The watch reconnects after two missing heartbeats, as the agent's machine may have vanished."""
     monkeypatch.setattr(discovery, "HEARTBEAT_TIMEOUT_S", 0.1)
 
     async def test() -> None:
@@ -118,17 +129,20 @@
 
 
 def test_host_list_stays_in_use_without_discovery() -> None:
-    """Without discovery the configured host list stays in use, and the watch does not end."""
+    """While the agent refuses connections the configured host list serves, and the watch does not end."""
 
     async def test() -> None:
-        async with backend(echo) as server, running_limiter(host_entry("a", server.address)) as fixture:
-            task = asyncio.create_task(fixture.watch.run())
+        async with (
+            backend(echo_request_id) as server,
+            running_limiter(host_entry("a", server.address)) as fixture,
+        ):
+            watch_task = asyncio.create_task(fixture.watch.run())
             client = await fixture.connect()
             for index in range(3):
                 assert (await client.request(build_request("fix", f"{index}"))).status_code == 200
                 await asyncio.sleep(0.06)
-            assert not task.done()
-            task.cancel()
+            assert not watch_task.done()
+            watch_task.cancel()
 
     run(test())
 
@@ -140,12 +154,12 @@
     """A watch without a socket, and the host lists that it passed on."""
 
     def __init__(self) -> None:
-        self.lists: list[HostList] = []
-        self.watch = Watch(("127.0.0.1", 1), self.lists.append, random.Random(1))
+        self.host_lists: list[HostList] = []
+        self.watch = Watch(("127.0.0.1", 1), self.host_lists.append, random.Random(1))
 
     def handle_line(self, line: object) -> bool:
-        raw = line if isinstance(line, bytes) else json.dumps(line).encode()
-        return self.watch._handle_line(raw)
+        raw_line = line if isinstance(line, bytes) else json.dumps(line).encode()
+        return self.watch._handle_line(raw_line)
 
 
 @pytest.mark.parametrize(
@@ -163,11 +177,11 @@
         b'\xff\xfe{"seq": 9}',
     ],
 )
-def test_invalid_line_is_requested_again(line: bytes) -> None:
+def test_invalid_line_is_not_applied(line: bytes) -> None:
     recorder = WatchRecorder()
     assert recorder.handle_line(host_list(3, HOST_A, HOST_B))
-    assert not recorder.handle_line(line)  # the watch must request it again
-    assert (len(recorder.lists), recorder.watch.seq) == (1, 3)
+    assert not recorder.handle_line(line)  # False: the watch must request it again
+    assert (len(recorder.host_lists), recorder.watch.seq) == (1, 3)
 
 
 @pytest.mark.parametrize(
@@ -189,26 +203,26 @@
     """The valid entries apply, but absent hosts don't count as gone: the invalid entry may be theirs."""
     recorder = WatchRecorder()
     assert not recorder.handle_line(host_list(3, HOST_A, {**HOST_B, **invalid_fields}))
-    [received] = recorder.lists
-    assert (received.whole, [entry.name for entry in received.hosts]) == (False, ["a"])
+    [received_list] = recorder.host_lists
+    assert (received_list.whole, [entry.name for entry in received_list.hosts]) == (False, ["a"])
     assert recorder.watch.seq == 0
 
 
 def test_repeated_and_outdated_lists_are_ignored() -> None:
     recorder = WatchRecorder()
     recorder.handle_line(host_list(3, HOST_A, HOST_B))
-    for old in (host_list(3), host_list(2), host_list(2, {**HOST_A, "health": "left"}, whole=False)):
-        assert recorder.handle_line(old)
-    assert len(recorder.lists) == 1
+    for old_list in (host_list(3), host_list(2), host_list(2, {**HOST_A, "health": "left"}, whole=False)):
+        assert recorder.handle_line(old_list)
+    assert len(recorder.host_lists) == 1
     # On a new watch a full list in the first line resets the version.
     recorder.watch._awaiting_first_list = True
     recorder.handle_line(host_list(1, HOST_A))
-    assert (recorder.watch.seq, len(recorder.lists)) == (1, 2)
+    assert (recorder.watch.seq, len(recorder.host_lists)) == (1, 2)
 
 
 def test_host_that_left_needs_no_address() -> None:
-    received, all_valid = parse_host_list(host_list(3, {"host": "a", "health": "left"}, whole=False))
-    assert all_valid and received.hosts[0].name == "a"
+    parsed_list, all_valid = parse_host_list(host_list(3, {"host": "a", "health": "left"}, whole=False))
+    assert all_valid and parsed_list.hosts[0].name == "a"
 
 
 def test_repeated_start_time_is_no_restart() -> None:
@@ -225,25 +239,29 @@
             ) as fixture:
                 await agent.watch_queries.get()
                 fleet = fixture.limiter._gateway.fleet
-                original = fleet.servers[0]
+                original_server = fleet.servers[0]
                 for seq in range(2, 50):
                     agent.send_line(host_list(seq, host_entry("a", "127.0.0.1:1", born_ms=born_ms)))
                 await wait_until(lambda: fixture.watch.seq == 49)
-                assert fleet.servers[0] is original
-                assert 2500 < fixture.limiter._now_ms() - original.entry.started_ms < 30_000
+                assert fleet.servers[0] is original_server
+                assert 2500 < fixture.limiter._now_ms() - original_server.entry.started_ms < 30_000
 
     run(test())
 
 
-def test_server_address_change() -> None:
-    """Requests to a server go to its new address after it moved."""
+def test_server_is_reached_at_its_new_address() -> None:
+    """A host list with another address moves the server, and closes its idle connections."""
 
     async def test() -> None:
         async def send(number: int, server: Backend) -> None:
             assert (await client.request(build_request("fix", f"{number}"))).status_code == 200
             assert len(server.requests) == 1
 
-        async with backend(echo) as server_a, backend(echo) as server_b, discovery_agent() as agent:
+        async with (
+            backend(echo_request_id) as server_a,
+            backend(echo_request_id) as server_b,
+            discovery_agent() as agent,
+        ):
             async with running_limiter(host_entry("a", server_a.address), agent=agent) as fixture:
                 client = await fixture.connect()
                 await agent.watch_queries.get()
@@ -255,13 +273,13 @@
     run(test())
 
 
-def test_agent_address_change() -> None:
+def test_watch_switches_to_new_agent_address() -> None:
     """The watch switches agents at once, the host list stays in use, and lower versions are accepted."""
 
     async def test() -> None:
         async with (
-            backend(echo) as server_a,
-            backend(echo) as server_b,
+            backend(echo_request_id) as server_a,
+            backend(echo_request_id) as server_b,
             discovery_agent() as old_agent,
             discovery_agent() as new_agent,
         ):
@@ -285,23 +303,25 @@
     run(test())
 
 
-def test_agent_address_change_during_backoff(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A new address of the agent interrupts the backoff."""
+def test_watch_uses_agent_address_set_during_its_initial_delay(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The watch uses an address that is set while it waits before its first connect."""
     monkeypatch.setattr(discovery, "BACKOFF_RANGE_S", (60.0, 60.0))
 
     async def test() -> None:
         async with discovery_agent() as new_agent, running_limiter() as fixture:
-            task = asyncio.create_task(fixture.watch.run())
+            watch_task = asyncio.create_task(fixture.watch.run())
             await asyncio.sleep(0.05)
             fixture.watch.change_address(new_agent.address)
             await new_agent.watch_queries.get()
-            task.cancel()
+            watch_task.cancel()
 
     run(test())
 
 
 def test_gone_servers_are_forgotten() -> None:
-    """A server is forgotten once a list reports it as gone or lacks it, and its number is not reused.
+    """A server is forgotten once a list reports it as gone or lacks it, and its id is not reused.
 
     The decision module keeps a server with an outstanding attempt until that has ended.
     """
@@ -326,7 +346,7 @@
                     assert len(fleet.servers) == 2  # the other has an outstanding attempt
                     seen_ids |= set(fixture.limiter._server_ids.values())
                 assert len(seen_ids) == 199
-                await echo(held_request)
+                await echo_request_id(held_request)
                 assert (await client.read_response()).body == b"held"
                 assert len(fleet.servers) == 1
 
@@ -334,7 +354,7 @@
 
 
 def recorded_backoffs(client_count: int, seed: int, monkeypatch: pytest.MonkeyPatch) -> list[float]:
-    """Return the backoffs in seconds of a watch before its first attempt and after seven failed ones."""
+    """Return the backoffs in seconds of a watch before its first connect and after seven that failed."""
     backoffs_s: list[float] = []
 
     async def sleep(seconds: float) -> None:
@@ -346,7 +366,7 @@
         pass
 
     async def test() -> None:
-        watch = Watch(("127.0.0.1", 1), lambda received: None, random.Random(seed), client_count)
+        watch = Watch(("127.0.0.1", 1), lambda host_list: None, random.Random(seed), client_count)
         monkeypatch.setattr(watch, "_connect_and_read", return_at_once)
         monkeypatch.setattr(discovery.asyncio, "sleep", sleep)
         with contextlib.suppress(asyncio.CancelledError):
@@ -362,15 +382,18 @@
 
     28 of them called again at the same time each second, and no call was ever answered.
     """
-    few, many = recorded_backoffs(2, 1, monkeypatch), recorded_backoffs(40, 1, monkeypatch)
-    assert few[0] <= 0.05 and max(few) <= 1.0
-    assert 1.0 <= many[1] <= 2.0
-    assert all(2.5 <= backoff_s <= discovery.MAX_BACKOFF_S for backoff_s in many[4:])
+    backoffs_of_2_limiters_s, backoffs_of_40_limiters_s = (
+        recorded_backoffs(2, 1, monkeypatch),
+        recorded_backoffs(40, 1, monkeypatch),
+    )
+    assert backoffs_of_2_limiters_s[0] <= 0.05 and max(backoffs_of_2_limiters_s) <= 1.0
+    assert 1.0 <= backoffs_of_40_limiters_s[1] <= 2.0
+    assert all(2.5 <= backoff_s <= discovery.MAX_BACKOFF_S for backoff_s in backoffs_of_40_limiters_s[4:])
 
 
 def test_limiters_started_together_spread_their_first_calls(monkeypatch: pytest.MonkeyPatch) -> None:
-    first_delays = [recorded_backoffs(40, seed, monkeypatch)[0] for seed in range(40)]
-    assert max(sum(start <= delay < start + 0.1 for delay in first_delays) for start in first_delays) < 12
+    delays_s = [recorded_backoffs(40, seed, monkeypatch)[0] for seed in range(40)]
+    assert max(sum(start <= delay_s < start + 0.1 for delay_s in delays_s) for start in delays_s) < 12
 
 
 def test_backoff_is_short_where_changes_are_pushed(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -378,13 +401,15 @@
 
     After a restart a limiter waited up to 5 s for drains that its agent had known for long.
     """
-    pushed = recorded_backoffs(
+    backoffs_with_push_s = recorded_backoffs(
         count_discovery_clients(replace(BASE_SETTINGS, gateway_count=200)), 1, monkeypatch
     )
-    subscribed = recorded_backoffs(
+    backoffs_with_subscription_s = recorded_backoffs(
         count_discovery_clients(replace(BASE_SETTINGS, gateway_count=200, must_subscribe=True)),
         1,
         monkeypatch,
     )
-    assert pushed[0] * 1000 < BASE_SETTINGS.drain_grace_ms / 4 and max(pushed) <= 1.0
-    assert max(subscribed[1:]) > 2.5
+    assert (
+        backoffs_with_push_s[0] * 1000 < BASE_SETTINGS.drain_grace_ms / 4 and max(backoffs_with_push_s) <= 1.0
+    )
+    assert max(backoffs_with_subscription_s[1:]) > 2.5
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -56,9 +56,9 @@
         while True:
             with contextlib.suppress(ConnectionError):
                 client = await self.connect()
-                answer = await client.request(b"GET /up HTTP/1.1\r\n\r\n")
+                response = await client.request(b"GET /up HTTP/1.1\r\n\r\n")
                 client.close()
-                if answer.status_code == 200:
+                if response.status_code == 200:
                     return
             await asyncio.sleep(0.02)
 
@@ -67,7 +67,7 @@
 async def running_process(
     directory: Path, *hosts: dict[str, Any], before_exec: Callable[[], None] | None = None
 ) -> AsyncIterator[LimiterProcess]:
-    """Run a limiter process with these hosts in its server list; `directory` holds its files.
+    """Run a limiter process with these hosts in its host list; `directory` holds its files.
 
     The process writes its log to the file "log" there; `before_exec` runs in the new process first.
     """
@@ -103,10 +103,10 @@
 
 @pytest.mark.parametrize("stop_signal", [signal.SIGTERM, signal.SIGINT])
 def test_stop_signal_finishes_open_requests_before_exit(tmp_path: Path, stop_signal: signal.Signals) -> None:
-    """A stop signal must not lose requests: not those that are open, and not those of late connections.
+    """A stop signal must not lose requests that are open, partly received or sent on late connections.
 
-    Idle connections are closed and /up answers 503, but the listener accepts connections for a while. Each
-    response then closes its connection, and the process exits with status 0 after the last one.
+    Idle connections are closed and /up answers 503, but the listener accepts connections for a while. The
+    last response on each connection closes it, and the process then exits with status 0.
     """
 
     async def test() -> None:
@@ -147,7 +147,7 @@
 def test_connections_beyond_descriptor_limit_wait(tmp_path: Path) -> None:
     """Running out of file descriptors must not stop the limiter.
 
-    It answers its open requests, and accepts the waiting connections once descriptors are free again.
+    The limiter answers its open requests, and accepts the waiting connections once descriptors are free.
     """
 
     def set_descriptor_limit() -> None:
@@ -163,12 +163,12 @@
             first_client = await limiter.connect()
             first_client.send(build_request("fix", "open"))
             open_request = await server.request_queue.get()
-            # Each client sends part of a request: the limiter may close idle connections to free descriptors.
+            # Each client sends part of a request, as the limiter would close idle connections for others.
             clients = [await limiter.connect() for _ in range(80)]
             for client in clients:
                 client.send(build_request("fix")[:10])
-            log = tmp_path / "log"
-            await wait_until(lambda: "no descriptor for a new connection" in log.read_text())
+            log_path = tmp_path / "log"
+            await wait_until(lambda: "no descriptor for a new connection" in log_path.read_text())
             await echo_request_id(open_request)
             assert (await first_client.read_response()).body == b"open"
             server.handler = echo_request_id
@@ -179,13 +179,13 @@
             assert (await waiting_client.read_response()).body == b"waited"
             limiter.process.send_signal(signal.SIGTERM)
             assert await limiter.process.wait() == 0
-            assert "Traceback" not in log.read_text()
+            assert "Traceback" not in log_path.read_text()
 
     run(test())
 
 
 def test_sighup_reloads_discovery_address(tmp_path: Path) -> None:
-    """On SIGHUP the limiter watches discovery at the new address; an invalid file changes nothing."""
+    """On SIGHUP the limiter watches discovery at the new address; an invalid file is reported and ignored."""
 
     async def test() -> None:
         async with (
@@ -194,14 +194,14 @@
             discovery_agent() as new_agent,
             running_process(tmp_path, host_entry("a", server.address)) as limiter,
         ):
-            log, valid_config = tmp_path / "log", json.loads(limiter.config_path.read_text())
+            log_path, valid_config = tmp_path / "log", json.loads(limiter.config_path.read_text())
             for invalid_text in ("{", "[]", json.dumps({**valid_config, "discovery": "nowhere"})):
-                failure_count = log.read_text().count("configuration not reloaded")
+                failure_count = log_path.read_text().count("configuration not reloaded")
                 limiter.config_path.write_text(invalid_text)
                 limiter.process.send_signal(signal.SIGHUP)
                 await wait_until(
                     lambda failure_count=failure_count: (  # type: ignore[misc]
-                        log.read_text().count("configuration not reloaded") > failure_count
+                        log_path.read_text().count("configuration not reloaded") > failure_count
                     )
                 )
             for agent in (old_agent, new_agent):
@@ -267,7 +267,7 @@
         load({"GW_CONFIG": str(config_path)})
 
 
-def test_load_rejects_missing_file(tmp_path: Path) -> None:
+def test_load_rejects_missing_variable_or_file(tmp_path: Path) -> None:
     for environ in ({}, {"GW_CONFIG": str(tmp_path / "none")}):
         with pytest.raises(ConfigError):
             load(environ)
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -1,6 +1,6 @@
 """The server side over real sockets: how attempts end, and which connections are reused.
 
-A request that is not idempotent gets a 429, which permits a retry, only if it certainly never ran.
+An at-most-once request gets a 429, which permits a retry, only if it certainly never ran.
 """
 
 from __future__ import annotations
@@ -54,7 +54,7 @@
         ("404 Not Found", "X-Other: 1", 502, 1),
     ],
 )
-def test_server_status_determines_client_status(
+def test_server_response_determines_client_status(
     server_status: str, header: str, client_status_code: int, attempt_count: int
 ) -> None:
     async def test() -> None:
@@ -68,7 +68,9 @@
     run(test())
 
 
-def test_request_and_response_are_forwarded_unchanged() -> None:
+def test_request_line_ids_and_bodies_are_forwarded_unchanged() -> None:
+    """The forwarded Req-Deadline is the time left, at most the client's 90 s."""
+
     async def test() -> None:
         async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"\x00\xff" * 30000)
@@ -77,12 +79,12 @@
             client = await fixture.connect()
             response = await client.request(build_request("upload", "id-7", b"\x00payload\xff"))
             assert response.body == b"\x00\xff" * 30000
-            [received] = server.requests
-            assert received.request_line == "POST /upload/7?a=%20b HTTP/1.1"
-            assert received.body == b"\x00payload\xff"
-            assert received.headers["req-id"] == "id-7"
-            assert received.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
-            assert 0 < float(received.headers["req-deadline"]) <= 90.0
+            [received_request] = server.requests
+            assert received_request.request_line == "POST /upload/7?a=%20b HTTP/1.1"
+            assert received_request.body == b"\x00payload\xff"
+            assert received_request.headers["req-id"] == "id-7"
+            assert received_request.headers["idempotency-key"] == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+            assert 0 < float(received_request.headers["req-deadline"]) <= 90.0
 
     run(test())
 
@@ -172,14 +174,17 @@
 }
 
 
-@pytest.mark.parametrize("raw", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
-def test_invalid_response_permits_no_retry_and_keeps_server(raw: bytes) -> None:
-    """The attempt fails at once, as it may have run; the rest is not read and the server stays in use."""
+@pytest.mark.parametrize("raw_response", INVALID_RESPONSES.values(), ids=INVALID_RESPONSES.keys())
+def test_invalid_response_permits_no_retry_and_keeps_server(raw_response: bytes) -> None:
+    """The attempt ends without waiting for its deadline, and the request counts as possibly run.
+
+    The rest of the response is not read, and the server stays in use.
+    """
 
     async def test() -> None:
         async def handler(request: ReceivedRequest) -> None:
             if len(server.requests) == 1:
-                request.writer.write(raw)
+                request.writer.write(raw_response)
                 await request.wait_closed()
             else:
                 request.reply(body=b"good")
@@ -195,7 +200,7 @@
 
 
 @pytest.mark.parametrize(
-    "raw",
+    "raw_response",
     [
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nwh\r\n3\r\nole\r\n0\r\n\r\n",
         b"HTTP/1.1 100 Continue\r\nX-Early: 1\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwhole",
@@ -203,10 +208,10 @@
     ],
     ids=["chunked", "interim response", "bytes after the response"],
 )
-def test_valid_framing_is_accepted(raw: bytes) -> None:
+def test_valid_framing_is_accepted(raw_response: bytes) -> None:
     async def test() -> None:
         async def handler(request: ReceivedRequest) -> None:
-            request.writer.write(raw)
+            request.writer.write(raw_response)
 
         async with backend(handler) as server:
             assert await request_once(server) == (200, 1, b"whole")
@@ -214,8 +219,8 @@
     run(test())
 
 
-def test_interim_response_long_before_the_final_one(monkeypatch: pytest.MonkeyPatch) -> None:
-    """An interim response starts no timeout, as it does not tell when the final one begins."""
+def test_interim_response_starts_no_timeout(monkeypatch: pytest.MonkeyPatch) -> None:
+    """An interim response does not tell when the final one begins."""
     monkeypatch.setattr(servers_module, "PARTIAL_RESPONSE_TIMEOUT_S", 0.02)
 
     async def test() -> None:
@@ -230,7 +235,7 @@
     run(test())
 
 
-def test_response_of_the_largest_size_is_accepted() -> None:
+def test_response_of_the_maximum_size_is_accepted() -> None:
     """The size of the head does not count towards the limit on the body, even if they arrive together."""
 
     async def test() -> None:
@@ -258,7 +263,7 @@
 
 
 def test_unresponsive_server_times_out() -> None:
-    """The attempt times out, its connection is closed, and the client gets an answer before its deadline."""
+    """The attempt times out, its connection is closed, and the client gets a response before its deadline."""
 
     async def test() -> None:
         async with backend() as server, running_limiter(host_entry("a", server.address)) as fixture:
@@ -277,9 +282,9 @@
 ) -> AttemptResult:
     """Send a request to a server and wait for the attempt's result."""
     loop = asyncio.get_running_loop()
-    ended: asyncio.Future[AttemptResult] = loop.create_future()
-    servers.send(server_id, message, loop.time() + timeout_s, ended.set_result)
-    return await ended
+    result_future: asyncio.Future[AttemptResult] = loop.create_future()
+    servers.send(server_id, message, loop.time() + timeout_s, result_future.set_result)
+    return await result_future
 
 
 class Listener:
@@ -295,23 +300,25 @@
 
 
 REQUEST = b"POST /fix HTTP/1.1\r\nContent-Length: 0\r\n\r\n"
-OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 @pytest.mark.parametrize("timed_out", [False, True], ids=["connection closed", "timed out"])
-def test_partially_written_request_counts_as_not_sent(timed_out: bool) -> None:
+def test_partially_written_request_counts_as_connect_failure(timed_out: bool) -> None:
     """A request that was not written whole never ran, however its attempt ends."""
 
     async def test() -> None:
         listener, servers = Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
         large_request = b"POST /fix HTTP/1.1\r\nContent-Length: 64000000\r\n\r\n" + b"x" * 64_000_000
-        task = asyncio.create_task(send_and_wait(servers, 1, large_request, 0.3 if timed_out else 20.0))
+        attempt_task = asyncio.create_task(
+            send_and_wait(servers, 1, large_request, 0.3 if timed_out else 20.0)
+        )
         connection = await listener.accept()
         await asyncio.get_running_loop().sock_recv(connection, 100)
         if not timed_out:
             connection.close()
-        assert (await task).status is CallStatus.CONNECT_FAILED
+        assert (await attempt_task).status is CallStatus.CONNECT_FAILED
 
     run(test())
 
@@ -322,18 +329,19 @@
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
-        first = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
+        first_task = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
         connection = await listener.accept()
         await loop.sock_recv(connection, 100)
-        connection.send(OK)
-        assert (await first).status is CallStatus.OK
+        connection.send(OK_RESPONSE)
+        assert (await first_task).status is CallStatus.OK
         connection.close()
-        ended: asyncio.Future[AttemptResult] = loop.create_future()
-        servers.send(1, REQUEST, loop.time() + 20, ended.set_result)  # before the event loop runs again
+        result_future: asyncio.Future[AttemptResult] = loop.create_future()
+        # Sent before the event loop runs again.
+        servers.send(1, REQUEST, loop.time() + 20, result_future.set_result)
         connection = await listener.accept()
         assert await loop.sock_recv(connection, 100) == REQUEST
-        connection.send(OK)
-        assert (await ended).status is CallStatus.OK
+        connection.send(OK_RESPONSE)
+        assert (await result_future).status is CallStatus.OK
 
     run(test())
 
@@ -381,13 +389,13 @@
     async def test() -> None:
         loop, listener, servers = asyncio.get_running_loop(), Listener(), Servers(10, 1.0, 30.0)
         servers.add_or_update(1, listener.address, True)
-        ended: asyncio.Future[AttemptResult] = loop.create_future()
-        attempt = servers.send(1, REQUEST, loop.time() + 20, ended.set_result)
+        result_future: asyncio.Future[AttemptResult] = loop.create_future()
+        attempt = servers.send(1, REQUEST, loop.time() + 20, result_future.set_result)
         connection = await listener.accept()
         await loop.sock_recv(connection, 100)
         attempt.cancel()
         assert connection.recv(1) == b""  # at once, before the event loop runs again
-        assert (await ended).status is CallStatus.CANCELLED
+        assert (await result_future).status is CallStatus.CANCELLED
 
     run(test())
 
@@ -398,11 +406,11 @@
             servers = Servers(10, 1.0, 0.2)
             host, port = server.address.split(":")
             servers.add_or_update(1, (host, int(port)), True)
-            tasks = [asyncio.create_task(send_and_wait(servers, 1, REQUEST)) for _ in range(2)]
-            requests = [await server.request_queue.get() for _ in tasks]
+            attempt_tasks = [asyncio.create_task(send_and_wait(servers, 1, REQUEST)) for _ in range(2)]
+            requests = [await server.request_queue.get() for _ in attempt_tasks]
             requests[0].reply()
             requests[1].reply()
-            await asyncio.gather(*tasks)
+            await asyncio.gather(*attempt_tasks)
             servers.close_expired_connections()
             assert server.connection_count == 2
             close_tasks = [asyncio.create_task(request.wait_closed()) for request in requests]
@@ -413,7 +421,7 @@
     run(test())
 
 
-def test_connection_limit() -> None:
+def test_connection_limit_closes_an_idle_connection_or_fails_the_attempt() -> None:
     """At the limit an idle connection to another server is closed; if none is idle, the attempt fails."""
 
     async def test() -> None:
@@ -426,12 +434,12 @@
                 host, port = server.address.split(":")
                 servers.add_or_update(server_id, (host, int(port)), True)
             assert (await send_and_wait(servers, 0, REQUEST)).status is CallStatus.OK
-            task = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
+            attempt_task = asyncio.create_task(send_and_wait(servers, 1, REQUEST))
             await server_a.requests[0].wait_closed()
-            pending_request = await server_b.request_queue.get()
+            held_request = await server_b.request_queue.get()
             assert (await send_and_wait(servers, 0, REQUEST)).status is CallStatus.CONNECT_FAILED
-            pending_request.reply()
-            assert (await task).status is CallStatus.OK
+            held_request.reply()
+            assert (await attempt_task).status is CallStatus.OK
 
     run(test())
 
@@ -461,7 +469,7 @@
 
 
 def test_every_kind_of_attempt_end_leaves_no_state() -> None:
-    """However attempts end, neither decision module nor sockets keep a request, count or connection."""
+    """However attempts end, the decision module and `Servers` keep no request, count or connection."""
 
     async def test() -> None:
         async def handler(request: ReceivedRequest) -> None:
@@ -510,21 +518,23 @@
                 await wait_until(lambda: not gateway.requests and not fixture.limiter._requests)
                 await wait_until(lambda: not servers._connect_tasks)
                 # An abandoned attempt may still run at its server, and holds a slot of its lane meanwhile.
-                slots = Counter(lane for _, lane in gateway.timed_out_slots)
-                assert gateway.occupied_slots == [slots[0], slots[1]]
+                timed_out_slot_counts = Counter(lane for _, lane in gateway.timed_out_slots)
+                assert gateway.occupied_slots == [timed_out_slot_counts[0], timed_out_slot_counts[1]]
                 assert (fixture.limiter.open_request_count, fixture.limiter._open_client_request_ids) == (
                     0,
                     set(),
                 )
                 assert all(customer.outstanding_count == 0 for customer in gateway.customers.values())
-                assert [peer.outstanding_count for peer in gateway.fleet.servers.values()] == [0]
+                assert [
+                    fleet_server.outstanding_count for fleet_server in gateway.fleet.servers.values()
+                ] == [0]
                 servers.close()
                 await wait_until(lambda: servers._open_connection_count == 0)
 
     run(test())
 
 
-async def connections_used(server: Backend, idle_s: float, class_name: str) -> list[int]:
+async def connection_numbers_used(server: Backend, idle_s: float, class_name: str) -> list[int]:
     """Send two requests of a class, the second after the first one's connection was idle for `idle_s`.
 
     Return the numbers of the connections that they used.
@@ -539,7 +549,7 @@
 
 
 @pytest.mark.parametrize(
-    ("class_name", "idle_s", "connections"),
+    ("class_name", "idle_s", "expected_connection_numbers"),
     [
         ("fix", servers_module.SAFE_REUSE_IDLE_S, [1, 2]),  # can't be retried after a reset
         ("read", servers_module.SAFE_REUSE_IDLE_S, [1, 1]),
@@ -548,14 +558,14 @@
     ],
 )
 def test_how_long_an_idle_connection_is_reused(
-    class_name: str, idle_s: float, connections: list[int]
+    class_name: str, idle_s: float, expected_connection_numbers: list[int]
 ) -> None:
     async def test() -> None:
         async def handler(request: ReceivedRequest) -> None:
             request.reply(body=b"own")
 
         async with backend(handler) as server:
-            assert await connections_used(server, idle_s, class_name) == connections
+            assert await connection_numbers_used(server, idle_s, class_name) == expected_connection_numbers
 
     run(test())
 
@@ -568,7 +578,7 @@
     assert servers._max_idle_s == 4.0
     servers.record_broken_connection(0.01)
     assert servers._max_idle_s == servers_module.SAFE_REUSE_IDLE_S
-    for _ in range(4 * 60 * 10):  # ten minutes of sweeps
+    for _ in range(4 * 60 * 10):  # ten minutes, at a call every 0.25 s
         servers.close_expired_connections()
     assert servers._max_idle_s == 15.0
 
--- a/tests/test_sizes.py
+++ b/tests/test_sizes.py
@@ -36,15 +36,15 @@
     return [host_entry(f"s-{n:08x}", f"127.{n // 250 + 1}.{n % 250}.1:9000") for n in range(count)]
 
 
-def feed_watch_stream(raw: bytes, chunk_size: int) -> tuple[list[bytes], discovery._WatchStream]:
+def feed_watch_stream(body: bytes, chunk_size: int) -> tuple[list[bytes], discovery._WatchStream]:
     """Feed a response body to a watch stream in chunks; return the lines it delivers and the stream."""
     lines: list[bytes] = []
 
     async def feed() -> discovery._WatchStream:
         stream = discovery._WatchStream(lambda line: lines.append(line) is None)
         stream.data_received(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for start in range(0, len(raw), chunk_size):
-            chunk = raw[start : start + chunk_size]
+        for start in range(0, len(body), chunk_size):
+            chunk = body[start : start + chunk_size]
             stream.data_received(b"%x\r\n%b\r\n" % (len(chunk), chunk))
         return stream
 
@@ -65,10 +65,10 @@
     """
     copied_byte_count = 0
 
-    def counting_bytes(raw: bytearray) -> bytes:
+    def counting_bytes(buffer: bytearray) -> bytes:
         nonlocal copied_byte_count
-        copied_byte_count += len(raw)
-        return bytes(raw)
+        copied_byte_count += len(buffer)
+        return bytes(buffer)
 
     monkeypatch.setattr(discovery, "bytes", counting_bytes, raising=False)
     full_list = json.dumps(host_list(2, *host_entries(FLEET_SIZE))).encode()
@@ -205,13 +205,13 @@
     assert peak_bytes + program_bytes < memory_limit_bytes(VALID_CONFIG) / 2
 
 
-def memory_limit_bytes(raw_config: dict[str, Any]) -> float:
+def memory_limit_bytes(config: dict[str, Any]) -> float:
     """Return the memory limit in a configuration."""
-    return float(raw_config["limits"]["memory_mb"]) * (1 << 20)
+    return float(config["limits"]["memory_mb"]) * (1 << 20)
 
 
 @pytest.mark.parametrize(
-    ("key", "invalid_value", "expected_error"),
+    ("key", "invalid_value", "entry_name"),
     [
         ("limits", {"sockets": 10}, "sockets"),
         ("limits", {"memory_mb": float("nan")}, "memory_mb"),
@@ -227,9 +227,9 @@
     ],
 )
 def test_out_of_range_entry_is_named_in_the_error(
-    tmp_path: Path, key: str, invalid_value: object, expected_error: str
+    tmp_path: Path, key: str, invalid_value: object, entry_name: str
 ) -> None:
     config_path = tmp_path / "config.json"
     config_path.write_text(json.dumps({**VALID_CONFIG, key: invalid_value}))
-    with pytest.raises(ConfigError, match=expected_error):
+    with pytest.raises(ConfigError, match=entry_name):
         load({"GW_CONFIG": str(config_path)})
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -20,7 +20,8 @@
 
 SETTINGS_WITH_400_MS_AIM = {"services": [{**service, "aimMs": 400.0} for service in SETTINGS["services"]]}
 SLOW_REQUEST_COUNT = 6  # outstanding at any time
-# Each step submits one fast request; a slow one stays outstanding for about SLOW_REQUEST_STEPS steps.
+# Each step submits a fast request. Every second one (SLOW_REQUEST_STEPS // SLOW_REQUEST_COUNT) completes the
+# oldest slow request, so each of those stays outstanding for about 12 steps.
 SLOW_REQUEST_STEPS, STEP_MS, FAST_LATENCY_MS = 15, 20.0, 5.0
 
 
@@ -41,17 +42,17 @@
     """Submit a request; return it once the server has received it, or None if the limiter refuses it."""
     client = await fixture.connect()
     client.send(build_request(request_id=request_id))
-    response, arrival = (
+    response_task, arrival_task = (
         asyncio.create_task(client.read_response()),
         asyncio.create_task(server.request_queue.get()),
     )
-    await asyncio.wait({response, arrival}, return_when=asyncio.FIRST_COMPLETED)
-    if response.done():
-        arrival.cancel()
+    await asyncio.wait({response_task, arrival_task}, return_when=asyncio.FIRST_COMPLETED)
+    if response_task.done():
+        arrival_task.cancel()
         return None
-    response.cancel()
-    await asyncio.wait({response})
-    return OutstandingRequest(client, arrival.result())
+    response_task.cancel()
+    await asyncio.wait({response_task})
+    return OutstandingRequest(client, arrival_task.result())
 
 
 def test_initial_caps_admit_the_concurrency_in_use() -> None:
