--- a/ironstage/latency.py
+++ b/ironstage/latency.py
@@ -1,9 +1,11 @@
-"""Latencies of a moving window, where attempts that were given up say only that they would take longer.
-
-A given-up attempt is a censored observation. Booked as an answer after its wait it reads as a quick one when
-clients wait for little: a jammed back end then looks fast, and its lanes open. So its weight passes to what
-took longer (Kaplan and Meier's estimate, redistributed to the right). Where all waits end at the aim this is
-the plain list, time-outs at the aim.
+"""Latency statistics over a moving window, with attempts that timed out as censored observations.
+
+The latency of an attempt that was abandoned before its answer is only known to exceed the time it was waited
+for. Counting it as an answer after that time biases the estimate low when clients have short deadlines: an
+overloaded back end then looks fast, and its lane caps are lifted. The weight of a censored observation is
+therefore redistributed to the right, to the observations that took longer (Kaplan-Meier estimate). Where
+every timeout happens at the latency aim (`aimMs`), the result is the plain sample with the timeouts at the
+aim.
 """
 
 from __future__ import annotations
@@ -13,95 +15,124 @@
 from collections.abc import Iterable
 from typing import NamedTuple
 
-PRIOR = 3.0  # attempts taken to be answered in time before any were seen, so that a class never shuts
+PRIOR_ANSWERED_COUNT = 3.0  # assumed before any observation, so that no class is ever shut out
 
 
-class Ended(NamedTuple):
-    """An attempt's end: when, of which class, how long it took and whether an answer came."""
+class LatencyObservation(NamedTuple):
+    """Elapsed time of one attempt, in milliseconds; censored if the attempt had no answer by `ended_ms`."""
 
-    at: float
-    cls: int
-    elapsed: float
+    ended_ms: float
+    class_index: int
+    elapsed_ms: float
     answered: bool
 
 
-def weighted(ended: Iterable[tuple[float, bool]]) -> list[tuple[float, float, bool]]:
-    """(elapsed, weight, answered), the shortest first; the weights add up to the number of attempts."""
-    rows = sorted((elapsed, not answered) for elapsed, answered in ended)
-    result, each, last = [], 1.0, len(rows) - 1
-    for index, (elapsed, given_up) in enumerate(rows):
-        if given_up and index < last:
-            each += each / (last - index)
-        else:
-            result.append((elapsed, each, not given_up))
-    return result
-
-
-def mean(rows: list[tuple[float, float, bool]]) -> float:
-    """Of the latencies up to the longest wait; 0 where there is none."""
-    total = sum(weight for _, weight, _ in rows)
-    return sum(elapsed * weight for elapsed, weight, _ in rows) / total if total else 0.0
+def kaplan_meier_weights(observations: Iterable[tuple[float, bool]]) -> list[tuple[float, float, bool]]:
+    """Weight the observations by redistributing the weight of censored ones to the right.
 
+    Takes pairs (elapsed_ms, answered) in any order and returns (elapsed_ms, weight, answered) in ascending
+    order of elapsed time. Censored observations are left out, except for one with the longest elapsed time,
+    which has none to its right. The weights add up to the number of observations.
+    """
+    ordered = sorted((elapsed_ms, not answered) for elapsed_ms, answered in observations)
+    weighted_observations, weight, last_index = [], 1.0, len(ordered) - 1
+    for index, (elapsed_ms, censored) in enumerate(ordered):
+        if censored and index < last_index:
+            weight += weight / (last_index - index)
+        else:
+            weighted_observations.append((elapsed_ms, weight, not censored))
+    return weighted_observations
 
-def tenth(rows: list[tuple[float, float, bool]]) -> float:
-    """The 10th percentile."""
-    bound, seen = sum(weight for _, weight, _ in rows) / 10.0, 0.0
-    for elapsed, weight, _ in rows:
-        seen += weight
-        if seen > bound:
-            return elapsed
-    return rows[-1][0] if rows else 0.0
 
+def weighted_mean_ms(weighted_observations: list[tuple[float, float, bool]]) -> float:
+    """Return the mean latency, restricted to the longest elapsed time; 0 without observations."""
+    total_weight = sum(weight for _, weight, _ in weighted_observations)
+    return (
+        sum(elapsed_ms * weight for elapsed_ms, weight, _ in weighted_observations) / total_weight
+        if total_weight
+        else 0.0
+    )
 
-class Chance:
-    """The chance that an attempt of one class is answered within a wait."""
 
-    def __init__(self, ended: Iterable[tuple[float, bool]] = ()) -> None:
-        self._times: list[float] = []
-        self._within: list[float] = []
-        self._last, total, done = 0.0, PRIOR, PRIOR
-        rows = weighted(ended)
-        total += sum(weight for _, weight, _ in rows)
-        for elapsed, weight, answered in rows:
-            self._last = elapsed
-            if answered:
-                done += weight
-                self._times.append(elapsed)
-                self._within.append(done / total)
-        self._least = PRIOR / total
-        self._beyond = max(0.0, 1.0 - done / total)  # sums of parts may pass their whole by a rounding
+def weighted_p10_ms(weighted_observations: list[tuple[float, float, bool]]) -> float:
+    """Return the 10th percentile of the latency; 0 without observations."""
+    target_weight, cumulative_weight = sum(weight for _, weight, _ in weighted_observations) / 10.0, 0.0
+    for elapsed_ms, weight, _ in weighted_observations:
+        cumulative_weight += weight
+        if cumulative_weight > target_weight:
+            return elapsed_ms
+    return weighted_observations[-1][0] if weighted_observations else 0.0
 
-    def within(self, wait: float) -> float:
-        """Past the longest that was seen at the rate up to there: what is out may still be answered."""
-        if wait >= self._last:
-            return 1.0 - self._beyond ** (wait / self._last) if self._last > 0 else 1.0
-        index = bisect_right(self._times, wait)
-        return self._within[index - 1] if index else self._least
 
+class AnswerTimeDistribution:
+    """Distribution of the time until an attempt of one class is answered.
 
-class Window:
-    """The ends of attempts, for as long as they tell of now.
+    Estimated from pairs (elapsed_ms, answered) with Kaplan-Meier weights and `PRIOR_ANSWERED_COUNT`
+    pseudo-observations that count as answered within any wait, which keeps every probability above 0.
+    """
 
-    Answers and time-outs leave together: kept apart, the last few time-outs of a jam would outstay it by far
-    beside the answers of now, and with them the caps that they brought.
+    def __init__(self, observations: Iterable[tuple[float, bool]] = ()) -> None:
+        self._answer_times_ms: list[float] = []
+        self._answered_fractions: list[float] = []  # cumulative, at the same index of `_answer_times_ms`
+        self._longest_ms, total_weight, answered_weight = 0.0, PRIOR_ANSWERED_COUNT, PRIOR_ANSWERED_COUNT
+        weighted_observations = kaplan_meier_weights(observations)
+        total_weight += sum(weight for _, weight, _ in weighted_observations)
+        for elapsed_ms, weight, answered in weighted_observations:
+            self._longest_ms = elapsed_ms
+            if answered:
+                answered_weight += weight
+                self._answer_times_ms.append(elapsed_ms)
+                self._answered_fractions.append(answered_weight / total_weight)
+        self._min_fraction = PRIOR_ANSWERED_COUNT / total_weight
+        # By rounding, the answered weight can exceed the total, so the difference is clamped at 0.
+        self._unanswered_fraction = max(0.0, 1.0 - answered_weight / total_weight)
+
+    def probability_within(self, wait_ms: float) -> float:
+        """Return the probability that an attempt is answered within `wait_ms`.
+
+        Beyond the longest observed time the distribution is extrapolated with a constant hazard rate, the
+        mean rate up to that time, because attempts that are unanswered by then may still be answered later.
+        """
+        if wait_ms >= self._longest_ms:
+            return (
+                1.0 - self._unanswered_fraction ** (wait_ms / self._longest_ms)
+                if self._longest_ms > 0
+                else 1.0
+            )
+        index = bisect_right(self._answer_times_ms, wait_ms)
+        return self._answered_fractions[index - 1] if index else self._min_fraction
+
+
+class ObservationWindow:
+    """Moving window of latency observations, in order of the time at which the attempts ended.
+
+    Answered and censored observations expire together. If each kind had its own minimum count, the last few
+    timeouts of an overload would stay long after it, next to current answers, and so would the lane caps that
+    they caused.
     """
 
-    def __init__(self, window_ms: float, oldest_ms: float, fewest: int) -> None:
+    def __init__(self, window_ms: float, max_age_ms: float, min_count: int) -> None:
         self._window_ms = window_ms
-        self._oldest_ms = oldest_ms
-        self._fewest = fewest  # held however old, up to `oldest_ms`
-        self.ends: deque[Ended] = deque()
-
-    def add(self, ended: Ended) -> None:
-        self.ends.append(ended)
-
-    def trim(self, now: float) -> None:
-        ends = self.ends
-        while ends and ends[0].at < now - (self._window_ms if len(ends) > self._fewest else self._oldest_ms):
-            ends.popleft()
-
-    def answered(self) -> list[Ended]:
-        return [one for one in self.ends if one.answered]
-
-    def given_up(self) -> list[Ended]:
-        return [one for one in self.ends if not one.answered]
+        self._max_age_ms = max_age_ms
+        self._min_count = min_count  # observations kept beyond `window_ms`, up to `max_age_ms`
+        self.observations: deque[LatencyObservation] = deque()
+
+    def add(self, observation: LatencyObservation) -> None:
+        """Append an observation that ended no earlier than those in the window."""
+        self.observations.append(observation)
+
+    def trim(self, now_ms: float) -> None:
+        """Remove expired observations."""
+        observations = self.observations
+        while observations and observations[0].ended_ms < now_ms - (
+            self._window_ms if len(observations) > self._min_count else self._max_age_ms
+        ):
+            observations.popleft()
+
+    def answered_observations(self) -> list[LatencyObservation]:
+        """Return the observations of attempts that were answered."""
+        return [observation for observation in self.observations if observation.answered]
+
+    def censored_observations(self) -> list[LatencyObservation]:
+        """Return the observations of attempts that timed out."""
+        return [observation for observation in self.observations if not observation.answered]
--- a/ironstage/logic.py
+++ b/ironstage/logic.py
@@ -689,8 +689,8 @@
         self.caps: tuple[float, float] = (INF, INF)
         self.count = [0, 0]
         self.running: list[tuple[float, int]] = []  # lanes' given-up work: until when it holds its slot
-        self.window = latency.Window(WINDOW_MS, OLDEST_MS, FEWEST)
-        self.chances = [latency.Chance() for _ in settings.classes]
+        self.window = latency.ObservationWindow(WINDOW_MS, OLDEST_MS, FEWEST)
+        self.chances = [latency.AnswerTimeDistribution() for _ in settings.classes]
         self.low = [INF, INF, INF]  # light-load latency of lane one, lane two and both
         self.arrivals: deque[tuple[float, int, float]] = deque()
         self.mean_out, self.out_ms = [0.0, 0.0], -INF  # of each lane
@@ -780,7 +780,7 @@
         the lane is pressed it gives way to those that the same work would answer. Below the cap by less than
         one: by chance, which mixes the two whole thresholds beside it.
         """
-        cost = 1.0 / self.chances[request.event.cls].within(request.end_ms - now)
+        cost = 1.0 / self.chances[request.event.cls].probability_within(request.end_ms - now)
         return cost - 1.0 + self.rng.random() < self._room(request.lane)
 
     def _room(self, lane: int) -> float:
@@ -929,7 +929,7 @@
         # Work lost at a suspect says nothing of the back end's load; elsewhere a time-out is a latency.
         if event.status is Status.OK or (event.status is Status.TIMEOUT and not was_suspect):
             answered = event.status is Status.OK
-            self.window.add(latency.Ended(now, request.event.cls, event.elapsed_ms, answered))
+            self.window.add(latency.LatencyObservation(now, request.event.cls, event.elapsed_ms, answered))
         elif event.status is Status.FULL:
             self.declined = now
         if event.closed:
@@ -945,13 +945,13 @@
         """The 10th-percentile latency, remembered through a jam, where it waits too and load reads low.
         It hurts, for some seconds, where requests truly become heavier."""
         if rows:
-            self.low[which] = min(latency.tenth(rows), self.low[which] * LOW_RISE)
+            self.low[which] = min(latency.weighted_p10_ms(rows), self.low[which] * LOW_RISE)
         return self.low[which] if self.low[which] < INF else 0.0
 
-    def _awaited(self, now: float) -> list[latency.Ended]:
+    def _awaited(self, now: float) -> list[latency.LatencyObservation]:
         """What is out, as if given up now: in a jam its age tells an aim sooner than its time-out will."""
         return [
-            latency.Ended(now, request.event.cls, now - attempt.sent, False)
+            latency.LatencyObservation(now, request.event.cls, now - attempt.sent, False)
             for request in self.requests.values()
             if now < request.end_ms
             for attempt in request.attempts
@@ -968,10 +968,10 @@
         # Lost answers are told from a jam by the others, which come quickly: no load, worth another try.
         # It also covers vanished servers; it would feed a jam whose time-outs are one class's alone. What
         # was given up before most answers come says nothing of either.
-        given_up = self.window.given_up()
-        quick = sorted(ended.elapsed for ended in self.window.answered())
+        given_up = self.window.censored_observations()
+        quick = sorted(ended.elapsed_ms for ended in self.window.answered_observations())
         most = quick[int(len(quick) * MOST)] if quick else 0.0
-        lost = sum(1 for ended in given_up if ended.elapsed >= most)
+        lost = sum(1 for ended in given_up if ended.elapsed_ms >= most)
         heavy = lost > LOSS * (lost + len(quick))
         calm = self.declined < now - WINDOW_MS  # who turns requests away has a jam
         swift = len(quick) > 3 and quick[len(quick) * 3 // 4] < QUICK * aim
@@ -981,19 +981,19 @@
         self.strays = len(quick) > FEWEST and enough and late <= TAIL * len(quick)
         if self.lossy and not before:
             self.actions.append(api.Log(f"answers get lost: {lost} beside {len(quick)}"))
-        ended = self.window.answered() if self.lossy else list(self.window.ends)
+        ended = self.window.answered_observations() if self.lossy else list(self.window.observations)
         told = ended if self.lossy else ended + self._awaited(now)
         of_lane: list[list[tuple[float, bool]]] = [[], []]
         of_class: list[list[tuple[float, bool]]] = [[] for _ in self.chances]
         for one in told:
-            of_lane[lanes[one.cls]].append((one.elapsed, one.answered))
-            if one.at >= now - WINDOW_MS:
-                of_class[one.cls].append((one.elapsed, one.answered))
-        self.chances = [latency.Chance(ends) for ends in of_class]
-        rows = [latency.weighted(ends) for ends in of_lane]
+            of_lane[lanes[one.class_index]].append((one.elapsed_ms, one.answered))
+            if one.ended_ms >= now - WINDOW_MS:
+                of_class[one.class_index].append((one.elapsed_ms, one.answered))
+        self.chances = [latency.AnswerTimeDistribution(ends) for ends in of_class]
+        rows = [latency.kaplan_meier_weights(ends) for ends in of_lane]
         every = sorted(rows[0] + rows[1])
         if every:
-            self.fleet.mean_ms = max(1.0, latency.mean(every))
+            self.fleet.mean_ms = max(1.0, latency.weighted_mean_ms(every))
         if len(ended) < FEWEST or not rows[0]:
             return
         low = [self._light(which, lane) for which, lane in enumerate(rows)]
